--- a/Libraries/LibMapSwitch/Telling.cc
+++ b/Libraries/LibMapSwitch/SentUpdate.cc
@@ -1,4 +1,4 @@
-#include "LibMapSwitch/Telling.h"
+#include "LibMapSwitch/SentUpdate.h"
 
 namespace bramleyspan::mapswitch {
 
--- a/Services/bramleyspand/Rank/Wishes.cc
+++ b/Services/bramleyspand/Rank/DesiredMaps.cc
@@ -1,4 +1,4 @@
-#include "Services/bramleyspand/Rank/Wishes.h"
+#include "Services/bramleyspand/Rank/DesiredMaps.h"
 
 #include <algorithm>
 #include <set>
--- a/Services/bramleyspand/Rank/Leader.cc
+++ b/Services/bramleyspand/Rank/Leader.cc
@@ -3,7 +3,7 @@
 #include <cmath>
 #include <utility>
 
-#include "LibMapSwitch/Telling.h"
+#include "LibMapSwitch/SentUpdate.h"
 #include "LibMembership/Gossip.h"
 #include "Services/bramleyspand/Rank/MapOwner.h"
 #include "Services/bramleyspand/Rank/RankMessages.h"
--- a/Services/bramleyspand/Rank/Leader.h
+++ b/Services/bramleyspand/Rank/Leader.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "Services/bramleyspand/Rank/Wishes.h"
+#include "Services/bramleyspand/Rank/DesiredMaps.h"
 
 namespace bramleyspan::rankd {
 
--- a/Services/bramleyspand/Rank/Orders.cc
+++ b/Services/bramleyspand/Rank/OrderSender.cc
@@ -1,4 +1,4 @@
-#include "Services/bramleyspand/Rank/Orders.h"
+#include "Services/bramleyspand/Rank/OrderSender.h"
 
 #include <utility>
 #include <variant>
--- a/Services/bramleyspand/Rank/RankReadings.cc
+++ b/Services/bramleyspand/Rank/RankPoller.cc
@@ -1,4 +1,4 @@
-#include "Services/bramleyspand/Rank/RankReadings.h"
+#include "Services/bramleyspand/Rank/RankPoller.h"
 
 #include <utility>
 
--- a/Services/bramleyspand/Rank/RankTeller.cc
+++ b/Services/bramleyspand/Rank/RankUpdateSender.cc
@@ -1,4 +1,4 @@
-#include "Services/bramleyspand/Rank/RankTeller.h"
+#include "Services/bramleyspand/Rank/RankUpdateSender.h"
 
 #include <memory>
 #include <utility>
--- a/Services/bramleyspand/Rank/RankTeller.h
+++ b/Services/bramleyspand/Rank/RankUpdateSender.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <utility>
 
-#include "LibMapSwitch/Telling.h"
+#include "LibMapSwitch/SentUpdate.h"
 #include "Services/bramleyspand/Rank/Leader.h"
 #include "Services/bramleyspand/Rank/RankState.h"
 
--- a/Services/bramleyspand/Rank/Deputy.cc
+++ b/Services/bramleyspand/Rank/StandbyOwner.cc
@@ -1,4 +1,4 @@
-#include "Services/bramleyspand/Rank/Deputy.h"
+#include "Services/bramleyspand/Rank/StandbyOwner.h"
 
 #include "LibTelemetry/Log.h"
 
--- a/Tests/LibMapSwitch/TestTelling.cc
+++ b/Tests/LibMapSwitch/TestSentUpdate.cc
@@ -1,6 +1,6 @@
 #include <doctest/doctest.h>
 
-#include "LibMapSwitch/Telling.h"
+#include "LibMapSwitch/SentUpdate.h"
 
 namespace bramleyspan::mapswitch {
 
