--- a/Libraries/LibMapSwitch/MapChanges.cc
+++ b/Libraries/LibMapSwitch/MapChanges.cc
@@ -16,7 +16,7 @@
     }
     for (size_t rank = 0; rank < ranks; ++rank) {
       if (base[set][rank] != map[set][rank]) {
-        changes.places.push_back(static_cast<uint16_t>(set * ranks + rank));
+        changes.indices.push_back(static_cast<uint16_t>(set * ranks + rank));
         changes.lists.push_back(map[set][rank]);
       }
     }
@@ -27,14 +27,14 @@
 std::optional<ExpertLists> Apply(const ExpertLists& base,
                                  const MapChanges& changes) {
   if (base.empty() || base[0].empty() ||
-      changes.places.size() != changes.lists.size()) {
+      changes.indices.size() != changes.lists.size()) {
     return std::nullopt;
   }
   ExpertLists map = base;
   const size_t ranks = base[0].size();
-  for (size_t i = 0; i < changes.places.size(); ++i) {
-    const size_t set = changes.places[i] / ranks;
-    const size_t rank = changes.places[i] % ranks;
+  for (size_t i = 0; i < changes.indices.size(); ++i) {
+    const size_t set = changes.indices[i] / ranks;
+    const size_t rank = changes.indices[i] % ranks;
     if (set >= map.size() || rank >= map[set].size()) {
       return std::nullopt;
     }
--- a/Libraries/LibMapSwitch/MapChanges.h
+++ b/Libraries/LibMapSwitch/MapChanges.h
@@ -1,5 +1,5 @@
-// A map of experts told as what differs from another one. A switch changes a
-// list in a hundred, and the links beside ranks are small.
+// An expert map encoded as its differences from another one. A switch changes
+// about one list in a hundred, and the links between ranks are slow.
 #pragma once
 
 #include <cstdint>
@@ -10,17 +10,19 @@
 
 namespace bramleyspan::mapswitch {
 
-// The lists that differ; each place is set times ranks plus rank.
+// The lists that differ. An index is set * number of ranks + rank.
 struct MapChanges {
-  std::vector<uint16_t> places;
+  std::vector<uint16_t> indices;
   std::vector<std::vector<uint16_t>> lists;
 };
 
-// Nothing if the maps are of different shapes, or too large for the places.
+// Returns the lists of `map` that differ from `base`, or nothing if the maps
+// have different shapes or more lists than an index can count.
 std::optional<MapChanges> Compare(const ExpertLists& base,
                                   const ExpertLists& map);
 
-// Nothing if a place lies outside of the map, or a list is missing.
+// Returns `base` with the changes applied, or nothing if an index is out of
+// range or the numbers of indices and lists differ.
 std::optional<ExpertLists> Apply(const ExpertLists& base,
                                  const MapChanges& changes);
 
--- a/Libraries/LibMapSwitch/Rank.h
+++ b/Libraries/LibMapSwitch/Rank.h
@@ -1,5 +1,5 @@
-// A rank of a group that steps on its own clock: what it reports, and the
-// orders by which it changes its expert map.
+// What a model server reports of its rank, and the orders that change the
+// expert map of its group. Each rank of a group steps on its own clock.
 #pragma once
 
 #include <cstdint>
@@ -12,48 +12,51 @@
 
 namespace bramleyspan::mapswitch {
 
-// The experts that each rank holds, by set and rank.
+// The experts that each rank holds, indexed by set and rank.
 using ExpertLists = std::vector<std::vector<std::vector<uint16_t>>>;
 
-// Zero names no map and no step.
+// Zero stands for no map and no step.
 using Version = uint64_t;
 using Step = uint64_t;
 
 struct RankStatus {
   std::string group;
-  // New at each forming of the group, which forgets everything before it.
+  // Changes each time the group is re-formed; no state is kept from one epoch
+  // to the next.
   uint64_t epoch = 0;
   uint32_t rank = 0;
   uint32_t size = 0;
   bool is_open = false;
-  // Whether an order is in progress.
+  // Whether the rank is still carrying out an order.
   bool is_busy = false;
   // Orders accepted since the rank started.
   uint64_t sequence = 0;
   uint32_t running = 0;
   uint32_t queued = 0;
-  // How many times as long as usual the rank's work takes.
+  // Factor by which the rank's work takes longer than usual.
   double pace = 1;
-  // Whether its agent had no answer to an order a moment ago.
+  // Whether an order that its agent sent recently was not answered.
   bool is_losing_orders = false;
-  // The last pass begun.
+  // The last pass that has begun.
   Step step = 0;
   Version map = 0;
   // The map whose copies are complete.
   Version prepared = 0;
+  // The map to switch to at the beginning of pass armed_step.
   Version armed = 0;
   Step armed_step = 0;
+  // The pass that the rank keeps the group from beginning; 0 for none.
   Step held = 0;
 
   bool operator==(const RankStatus&) const = default;
 };
 
-// Copies what the map needs beside what is in use.
+// Copies the experts that the map needs and the rank does not hold.
 struct Prepare {
   Version version = 0;
   ExpertLists map;
 };
-// Switches to the map as the pass begins.
+// Switches to the map at the beginning of the pass.
 struct Arm {
   Version version = 0;
   Step step = 0;
@@ -68,9 +71,9 @@
 };
 using OrderBody = std::variant<Prepare, Arm, Hold, Go>;
 
-// An order that was not answered may be carried out much later. One that
-// names an epoch and a sequence is refused once the group was formed anew or
-// the rank took any other order meanwhile.
+// An order that was not answered may be carried out much later. An order with
+// an epoch and an expected sequence is refused if the group was re-formed or
+// the rank accepted another order in the meantime.
 struct Order {
   uint64_t epoch = 0;
   uint64_t expected_sequence = 0;
@@ -80,14 +83,14 @@
 // The stable name of an order's kind.
 std::string NameOf(const OrderBody& body);
 
-// How often a rank's requests chose each expert since it started.
+// How often a rank's requests selected each expert since the rank started.
 struct ExpertCounts {
   uint64_t epoch = 0;
   Step step = 0;
   std::vector<uint64_t> counts;
 };
 
-// How a platform's model servers spell this.
+// Converts between these types and the format of a platform's model servers.
 struct RankAdapter {
   std::string report_path;
   std::string counts_path;
@@ -96,7 +99,7 @@
   // Each fails with kMalformedDocument.
   Result<RankStatus> (*parse_report)(const std::string& body) = nullptr;
   Result<ExpertCounts> (*parse_counts)(const std::string& body) = nullptr;
-  // The experts in use at the rank, by set.
+  // Returns the experts in use at the rank, by set.
   Result<std::vector<std::vector<uint16_t>>> (*parse_lists)(
       const std::string& body) = nullptr;
   std::string (*write_order)(const Order& order) = nullptr;
--- a/Libraries/LibMapSwitch/SentUpdate.h
+++ b/Libraries/LibMapSwitch/SentUpdate.h
@@ -1,9 +1,10 @@
-// When a rank's agent tells the owner of the group's map how the rank stands.
+// Decides when a rank's agent sends the status of its rank to the owner of the
+// group's map.
 //
-// Failure: all agents were killed between the last arm and the go, and the new
-// ones told their owner of changes and of passes only. A held group has
-// neither, so the owner never heard of it, and the group stood still to the end
-// of the day. What does not change is therefore said again.
+// Failure: all agents were killed between the last arm and the go, and their
+// successors sent an update only on a change or a new pass. A held group has
+// neither, so the owner received no update and never released the group. An
+// unchanged status is therefore sent again.
 #pragma once
 
 #include "Kernel/Time.h"
@@ -11,19 +12,19 @@
 
 namespace bramleyspan::mapswitch {
 
-struct Telling {
-  RankStatus told;
-  TimePoint told_at;
+struct SentUpdate {
+  RankStatus sent_status;
+  TimePoint sent_at;
 };
 
 // Whether more has changed than the pass and the load.
-bool is_change(const RankStatus& status, const RankStatus& told);
+bool is_state_change(const RankStatus& status, const RankStatus& sent_status);
 
-// Whether the owner has to hear of the status now. A pass begins many times a
-// second; that alone is told with its counts.
-bool is_due(const Telling& telling,
-            const RankStatus& status,
-            bool has_counts,
-            TimePoint now);
+// Whether the status has to be sent to the owner now. Passes begin many times a
+// second, so a new pass alone is sent only with its expert counts.
+bool is_update_due(const SentUpdate& last_update,
+                   const RankStatus& status,
+                   bool has_counts,
+                   TimePoint now);
 
 }  // namespace bramleyspan::mapswitch
--- a/Libraries/LibMapSwitch/Switch.cc
+++ b/Libraries/LibMapSwitch/Switch.cc
@@ -7,62 +7,68 @@
 
 namespace {
 
-// A status older than this says nothing of the rank's present state.
-constexpr Duration kFresh = std::chrono::milliseconds(400);
-// From the first arm to the new map in force at all ranks, on a good day. A
-// rest after a longer switch is a multiple of what it took.
-constexpr Duration kUsualSwitch = std::chrono::milliseconds(450);
-constexpr int kRestFactor = 2;
-constexpr Duration kShortestRest = std::chrono::seconds(1);
-constexpr Duration kLongestRest = std::chrono::seconds(2);
-// A switch that is not prepared in this time is given up: a rank's agent may
+// An older status is not used as the rank's present state.
+constexpr Duration kLongestStatusAge = std::chrono::milliseconds(400);
+// Time from the start of arming until the new map is in force at all ranks,
+// when no order is lost. The cooldown after a slower switch is a multiple of
+// its duration.
+constexpr Duration kUsualSwitchTime = std::chrono::milliseconds(450);
+constexpr int kCooldownFactor = 2;
+constexpr Duration kShortestCooldown = std::chrono::seconds(1);
+constexpr Duration kLongestCooldown = std::chrono::seconds(2);
+// A switch that is not prepared in this time is aborted: a rank's agent may
 // have died, and nothing is held yet.
-constexpr Duration kLongestPreparation = std::chrono::seconds(5);
-// From the hold until every rank reports that it is armed.
+constexpr Duration kPreparationTimeout = std::chrono::seconds(5);
+// Bounds of the expected time from the hold until every rank reports that it is
+// armed.
 constexpr Duration kUsualArmingTime = std::chrono::milliseconds(50);
 constexpr Duration kLongestArmingTime = std::chrono::milliseconds(500);
-// What of a long arming time is left with the next switch.
-constexpr double kArmingTimeKept = 0.7;
-// An order's way to the server and its effect's way back into a report.
-constexpr Duration kOrderTime = std::chrono::milliseconds(15);
+// Factor by which a long arming time decays with each switch.
+constexpr double kArmingTimeDecay = 0.7;
+// Time for an order to reach the model server and for its effect to be
+// reported.
+constexpr Duration kOrderRoundTrip = std::chrono::milliseconds(15);
 constexpr Duration kShortestPass = std::chrono::milliseconds(10);
-// How late the beginning of a pass may show in a report.
-constexpr Duration kPassSeenLate = std::chrono::milliseconds(20);
+// How late the beginning of a pass may be reported.
+constexpr Duration kPassReportDelay = std::chrono::milliseconds(20);
 
-bool is_fresh(const std::optional<HeardStatus>& rank, TimePoint now) {
-  return rank && now - rank->heard <= kFresh;
+bool is_fresh(const std::optional<ReceivedStatus>& rank, TimePoint now) {
+  return rank && now - rank->received_at <= kLongestStatusAge;
 }
 
 template <typename Predicate>
-bool is_all(const MapSwitch& map_switch, TimePoint now, Predicate predicate) {
+bool is_true_for_all(const MapSwitch& map_switch,
+                     TimePoint now,
+                     Predicate predicate) {
   return !map_switch.ranks.empty() &&
          std::all_of(map_switch.ranks.begin(), map_switch.ranks.end(),
                      [&](const auto& rank) {
                        return is_fresh(rank, now) &&
-                              rank->status.epoch == map_switch.wish.epoch &&
+                              rank->status.epoch ==
+                                  map_switch.desired_map.epoch &&
                               predicate(rank->status);
                      });
 }
 
-void Enter(MapSwitch& map_switch, SwitchPhase phase, TimePoint now) {
-  const bool is_held_now = phase == SwitchPhase::kArmingOwner ||
-                           (phase == SwitchPhase::kArming &&
-                            map_switch.phase != SwitchPhase::kArmingOwner);
-  if (is_held_now) {
+void EnterPhase(MapSwitch& map_switch, SwitchPhase phase, TimePoint now) {
+  const bool is_hold_start = phase == SwitchPhase::kArmingOwner ||
+                             (phase == SwitchPhase::kArming &&
+                              map_switch.phase != SwitchPhase::kArmingOwner);
+  if (is_hold_start) {
     map_switch.arming_since = now;
   }
   map_switch.phase = phase;
   map_switch.since = now;
 }
 
-void GiveUp(MapSwitch& map_switch, std::string reason, TimePoint now) {
+void Abort(MapSwitch& map_switch, std::string reason, TimePoint now) {
   map_switch.last_failure = std::move(reason);
-  Enter(map_switch, SwitchPhase::kIdle, now);
+  EnterPhase(map_switch, SwitchPhase::kIdle, now);
 }
 
-// Whether so many ranks lose orders that a held group would wait for long. A
-// map that is not switched costs less than a group that stands still, and
-// where the owner is lost too, requests run on that nobody waits for.
+// Whether so many ranks lose orders that a held group would wait for long.
+// Keeping the old map costs less than holding the group, and if the owner fails
+// too, the servers work on requests whose callers have left.
 bool is_losing_orders(const MapSwitch& map_switch) {
   constexpr size_t kLeastRanks = 2;
   const auto losing = static_cast<size_t>(std::count_if(
@@ -71,27 +77,27 @@
   return losing >= std::max(kLeastRanks, map_switch.ranks.size() / 3 + 1);
 }
 
-// How many passes ahead the group is held. A group held at a pass that comes
-// before the last rank is armed waits there, which made passes of 90 ms last
-// 130, and every stream late; with the arms out before the pass is due, nothing
-// waits. What is left of the pass under way may be enough. Orders that get lost
-// are repeated, which takes longer: as long as the last switches took.
+// Returns how many passes ahead the group is held. If a pass is due before the
+// last rank is armed, the group waits there: passes of 90 ms took 130 ms, and
+// every stream was late. If all ranks are armed before the pass is due, nothing
+// waits; the rest of the running pass may be enough time. Lost orders are
+// repeated, so as much time is allowed as the last switches took.
 Step PassesAhead(const MapSwitch& map_switch, TimePoint now) {
   const Duration pass = std::max(map_switch.pass, kShortestPass);
   const Duration needed =
       std::clamp(map_switch.arming_time, kUsualArmingTime, kLongestArmingTime);
-  const Duration left = map_switch.pass_began + pass - kPassSeenLate - now;
+  const Duration left = map_switch.pass_began + pass - kPassReportDelay - now;
   if (left >= needed) {
     return 1;
   }
-  // A pass that is nearly over may end at any moment.
-  const Duration lacking = needed - std::max(left, Duration(0));
-  const auto further = (lacking + pass - Duration(1)) / pass;
+  // The running pass may end at any moment.
+  const Duration missing = needed - std::max(left, Duration(0));
+  const auto further = (missing + pass - Duration(1)) / pass;
   return static_cast<Step>(1 + further);
 }
 
-// The rank that keeps the group from the nearest pass, if any does. Holds that
-// were tried at two ranks may both be carried out.
+// Returns the rank that holds the group at the nearest pass, if any. If holds
+// were requested at two ranks, both may be carried out.
 std::optional<uint32_t> FindHolder(const MapSwitch& map_switch, TimePoint now) {
   const RankStatus* nearest = nullptr;
   for (const auto& rank : map_switch.ranks) {
@@ -104,7 +110,7 @@
                             : std::optional<uint32_t>(nearest->rank);
 }
 
-// Any rank but the owner's own, if there is another.
+// Returns any rank but the owner's own, if there is another.
 uint32_t ChooseHolder(const MapSwitch& map_switch, TimePoint now) {
   for (const auto& rank : map_switch.ranks) {
     if (is_fresh(rank, now) && rank->status.rank != 0) {
@@ -118,140 +124,149 @@
   return map_switch.ranks[rank]->status;
 }
 
-// A restarted agent finds the group held by its predecessor. Arms are sent
-// only while every rank has the same map prepared, so that
-//   - where a rank is armed for the held pass, its map is the one to finish;
-//   - where all have the same map prepared, arms may be on their way: finish;
-//   - where they differ, a later switch had begun before the hold was carried
-//     out, so that nothing was armed for it: see needs_switch.
-// Nobody ever lets go of a pass for which not all ranks are armed alike. A go
-// that is carried out late can therefore do no harm, not even to a hold of the
-// same pass by somebody else.
+// Resumes the switch of a held group, as a restarted owner or a standby owner
+// finds it. Arm orders are sent only while every rank has the same map
+// prepared, so that
+//
+//   - if a rank is armed for the held pass, its map is the one to complete;
+//   - if all have the same map prepared, arm orders may still arrive: complete
+//     the switch to it;
+//   - if they differ, a later switch had begun before the hold was carried out,
+//     so that nothing was armed for it: see needs_switch.
+//
+// No agent releases a pass for which not all ranks are armed for the same map.
+// A go order that is carried out late is therefore harmless, even to a hold of
+// the same pass that another agent requested.
 void Resume(MapSwitch& map_switch, uint32_t holder, TimePoint now) {
   const RankStatus& own = StatusOf(map_switch, 0);
   const Step held = StatusOf(map_switch, holder).held;
-  map_switch.wish = Wish{.epoch = own.epoch,
-                         .version = own.prepared,
-                         .hold_step = held,
-                         .holder = holder,
-                         .arm_step = held};
-  const bool is_all_heard =
-      is_all(map_switch, now, [](const RankStatus&) { return true; });
-  if (!is_all_heard) {
+  map_switch.desired_map = DesiredMap{.epoch = own.epoch,
+                                      .version = own.prepared,
+                                      .hold_step = held,
+                                      .holder = holder,
+                                      .arm_step = held};
+  const bool has_all_statuses =
+      is_true_for_all(map_switch, now, [](const RankStatus&) { return true; });
+  if (!has_all_statuses) {
     return;
   }
-  const bool is_same = is_all(map_switch, now, [&own](const RankStatus& rank) {
-    return rank.prepared == own.prepared;
-  });
+  const bool is_same = is_true_for_all(
+      map_switch, now,
+      [&own](const RankStatus& rank) { return rank.prepared == own.prepared; });
   bool is_armed = false;
   for (const auto& rank : map_switch.ranks) {
     if (rank->status.armed_step == held) {
-      map_switch.wish.version = rank->status.armed;
+      map_switch.desired_map.version = rank->status.armed;
       is_armed = true;
     }
   }
   if (is_armed || (is_same && own.prepared != 0)) {
-    // A deputy trusts that an owner's rank is armed once the owner names the
-    // pass; that holds for one that finds the group held, too.
-    Enter(
-        map_switch,
-        map_switch.is_deputy ? SwitchPhase::kArming : SwitchPhase::kArmingOwner,
-        now);
+    // A standby owner may assume that the owner's rank is armed once the owner
+    // names the pass; that also holds if it finds the group held.
+    EnterPhase(map_switch,
+               map_switch.is_standby ? SwitchPhase::kArming
+                                     : SwitchPhase::kArmingOwner,
+               now);
   }
 }
 
 void ContinueHolding(MapSwitch& map_switch, TimePoint now);
 
 void ContinuePreparing(MapSwitch& map_switch, TimePoint now) {
-  const Version version = map_switch.wish.version;
+  const Version version = map_switch.desired_map.version;
   if (is_losing_orders(map_switch)) {
-    GiveUp(map_switch, "orders get lost", now);
+    Abort(map_switch, "ranks lose orders", now);
     return;
   }
-  if (now - map_switch.since > kLongestPreparation) {
-    GiveUp(map_switch, "not prepared in time", now);
+  if (now - map_switch.since > kPreparationTimeout) {
+    Abort(map_switch, "ranks did not prepare the map in time", now);
     return;
   }
   const bool is_prepared =
-      is_all(map_switch, now, [version](const RankStatus& rank) {
+      is_true_for_all(map_switch, now, [version](const RankStatus& rank) {
         return rank.is_open && rank.prepared == version;
       });
   if (is_prepared) {
-    Enter(map_switch, SwitchPhase::kHolding, now);
+    EnterPhase(map_switch, SwitchPhase::kHolding, now);
     ContinueHolding(map_switch, now);
   }
 }
 
 void ContinueHolding(MapSwitch& map_switch, TimePoint now) {
-  Wish& wish = map_switch.wish;
-  const auto held_at = FindHolder(map_switch, now);
-  if (held_at) {
-    wish.holder = *held_at;
-    wish.hold_step = StatusOf(map_switch, *held_at).held;
-    wish.arm_step = wish.hold_step;
-    Enter(map_switch, SwitchPhase::kArmingOwner, now);
+  DesiredMap& desired_map = map_switch.desired_map;
+  const auto current_holder = FindHolder(map_switch, now);
+  if (current_holder) {
+    desired_map.holder = *current_holder;
+    desired_map.hold_step = StatusOf(map_switch, *current_holder).held;
+    desired_map.arm_step = desired_map.hold_step;
+    EnterPhase(map_switch, SwitchPhase::kArmingOwner, now);
     return;
   }
-  // Nothing is held yet, and so nothing armed: it is safe to stop here. All
-  // agents must be near, or the group would wait for the one that is not.
-  const bool is_late = now - map_switch.since > kLongestPreparation;
-  if (is_late && !map_switch.is_hold_wished) {
-    GiveUp(map_switch, "not held in time", now);
+  // Nothing is held yet, so nothing is armed: it is safe to abort here.
+  const bool is_overdue = now - map_switch.since > kPreparationTimeout;
+  if (is_overdue && !map_switch.is_hold_requested) {
+    Abort(map_switch, "the group was not held in time", now);
     return;
   }
-  const bool is_all_heard =
-      is_all(map_switch, now, [](const RankStatus&) { return true; });
-  // A hold that came too late was refused: it is tried with a later pass.
+  const bool has_all_statuses =
+      is_true_for_all(map_switch, now, [](const RankStatus&) { return true; });
+  // A hold that arrived after its pass began was refused; a later pass is
+  // requested. All ranks must have a fresh status, or the group would wait for
+  // one whose agent is unresponsive.
   const Step step = StatusOf(map_switch, 0).step;
-  if (is_all_heard && wish.hold_step <= step) {
-    wish.holder = ChooseHolder(map_switch, now);
-    wish.hold_step = step + PassesAhead(map_switch, now);
-    map_switch.is_hold_wished = true;
+  if (has_all_statuses && desired_map.hold_step <= step) {
+    desired_map.holder = ChooseHolder(map_switch, now);
+    desired_map.hold_step = step + PassesAhead(map_switch, now);
+    map_switch.is_hold_requested = true;
   }
 }
 
 void ContinueArmingOwner(MapSwitch& map_switch, TimePoint now) {
   const RankStatus& own = StatusOf(map_switch, 0);
-  const Wish& wish = map_switch.wish;
-  if (own.armed == wish.version && own.armed_step == wish.arm_step) {
-    Enter(map_switch, SwitchPhase::kArming, now);
+  const DesiredMap& desired_map = map_switch.desired_map;
+  if (own.armed == desired_map.version &&
+      own.armed_step == desired_map.arm_step) {
+    EnterPhase(map_switch, SwitchPhase::kArming, now);
   }
 }
 
 void ContinueArming(MapSwitch& map_switch, TimePoint now) {
-  Wish& wish = map_switch.wish;
+  DesiredMap& desired_map = map_switch.desired_map;
   const bool is_armed =
-      is_all(map_switch, now, [&wish](const RankStatus& rank) {
-        return rank.armed == wish.version && rank.armed_step == wish.arm_step;
+      is_true_for_all(map_switch, now, [&desired_map](const RankStatus& rank) {
+        return rank.armed == desired_map.version &&
+               rank.armed_step == desired_map.arm_step;
       });
   if (is_armed) {
-    const auto kept = std::chrono::duration_cast<Duration>(
-        kArmingTimeKept * map_switch.arming_time);
+    const auto decayed = std::chrono::duration_cast<Duration>(
+        kArmingTimeDecay * map_switch.arming_time);
     map_switch.arming_time =
-        std::max(now - map_switch.arming_since + kOrderTime, kept);
-    wish.is_released = true;
-    Enter(map_switch, SwitchPhase::kReleasing, now);
+        std::max(now - map_switch.arming_since + kOrderRoundTrip, decayed);
+    desired_map.is_released = true;
+    EnterPhase(map_switch, SwitchPhase::kReleasing, now);
   }
 }
 
 void ContinueReleasing(MapSwitch& map_switch, TimePoint now) {
-  Wish& wish = map_switch.wish;
-  const auto held_at = FindHolder(map_switch, now);
-  if (held_at && StatusOf(map_switch, *held_at).held <= wish.arm_step) {
-    wish.holder = *held_at;
+  DesiredMap& desired_map = map_switch.desired_map;
+  const auto current_holder = FindHolder(map_switch, now);
+  if (current_holder &&
+      StatusOf(map_switch, *current_holder).held <= desired_map.arm_step) {
+    desired_map.holder = *current_holder;
     return;
   }
-  const Version version = wish.version;
-  const bool is_in_force =
-      is_all(map_switch, now,
-             [version](const RankStatus& rank) { return rank.map == version; });
+  const Version version = desired_map.version;
+  const bool is_in_force = is_true_for_all(
+      map_switch, now,
+      [version](const RankStatus& rank) { return rank.map == version; });
   if (is_in_force) {
-    const Duration took = now - map_switch.arming_since;
-    if (took > kUsualSwitch) {
-      map_switch.rests_until =
-          now + std::clamp(took * kRestFactor, kShortestRest, kLongestRest);
+    const Duration switch_time = now - map_switch.arming_since;
+    if (switch_time > kUsualSwitchTime) {
+      map_switch.cooldown_until =
+          now + std::clamp(switch_time * kCooldownFactor, kShortestCooldown,
+                           kLongestCooldown);
     }
-    Enter(map_switch, SwitchPhase::kIdle, now);
+    EnterPhase(map_switch, SwitchPhase::kIdle, now);
   }
 }
 
@@ -293,25 +308,25 @@
     return false;
   }
   auto& known = map_switch.ranks[status.rank];
-  // Datagrams overtake each other.
+  // Datagrams may arrive out of order.
   if (known && known->status.epoch > status.epoch) {
     return false;
   }
-  const bool is_formed_anew = known && known->status.epoch < status.epoch;
-  known = HeardStatus{status, now};
+  const bool is_reformed = known && known->status.epoch < status.epoch;
+  known = ReceivedStatus{status, now};
   map_switch.newest =
       std::max({map_switch.newest, status.map, status.prepared, status.armed});
-  // A new epoch holds, arms and prepares nothing of the old one.
+  // Holds, arms and prepared maps of the old epoch are void in a new one.
   if (map_switch.phase != SwitchPhase::kIdle &&
-      status.epoch > map_switch.wish.epoch) {
-    GiveUp(map_switch, "the group was formed anew", now);
+      status.epoch > map_switch.desired_map.epoch) {
+    Abort(map_switch, "the group was re-formed", now);
   }
-  return is_formed_anew;
+  return is_reformed;
 }
 
 bool is_ready_for_map(const MapSwitch& map_switch, TimePoint now) {
   if (map_switch.phase != SwitchPhase::kIdle || map_switch.ranks.empty() ||
-      !map_switch.ranks.front() || now < map_switch.rests_until ||
+      !map_switch.ranks.front() || now < map_switch.cooldown_until ||
       is_losing_orders(map_switch)) {
     return false;
   }
@@ -326,7 +341,7 @@
 }
 
 bool needs_switch(const MapSwitch& map_switch, TimePoint now) {
-  if (map_switch.phase != SwitchPhase::kIdle || map_switch.is_deputy ||
+  if (map_switch.phase != SwitchPhase::kIdle || map_switch.is_standby ||
       !FindHolder(map_switch, now)) {
     return false;
   }
@@ -348,11 +363,12 @@
 
 void StartSwitch(MapSwitch& map_switch, ExpertLists map, TimePoint now) {
   map_switch.newest += std::exchange(map_switch.version_offset, 0);
-  map_switch.wish = Wish{.epoch = map_switch.ranks.front()->status.epoch,
-                         .version = ++map_switch.newest,
-                         .map = std::move(map)};
-  map_switch.is_hold_wished = false;
-  Enter(map_switch, SwitchPhase::kPreparing, now);
+  map_switch.desired_map =
+      DesiredMap{.epoch = map_switch.ranks.front()->status.epoch,
+                 .version = ++map_switch.newest,
+                 .map = std::move(map)};
+  map_switch.is_hold_requested = false;
+  EnterPhase(map_switch, SwitchPhase::kPreparing, now);
 }
 
 void Continue(MapSwitch& map_switch, TimePoint now) {
@@ -385,83 +401,87 @@
   }
 }
 
-Wish WishFor(const MapSwitch& map_switch, uint32_t rank) {
-  Wish wish = map_switch.wish;
+DesiredMap DesiredMapFor(const MapSwitch& map_switch, uint32_t rank) {
+  DesiredMap desired_map = map_switch.desired_map;
   if (map_switch.phase == SwitchPhase::kArmingOwner && rank != 0) {
-    wish.arm_step = 0;
+    desired_map.arm_step = 0;
   }
-  return wish;
+  return desired_map;
 }
 
-void TrustOwner(MapSwitch& map_switch,
-                const Wish& heard,
-                uint32_t size,
-                TimePoint now) {
+void InferOwnerArmed(MapSwitch& map_switch,
+                     const DesiredMap& last_received,
+                     uint32_t size,
+                     TimePoint now) {
   map_switch.ranks.resize(size);
-  if (heard.arm_step == 0 || is_fresh(map_switch.ranks.front(), now)) {
+  if (last_received.arm_step == 0 || is_fresh(map_switch.ranks.front(), now)) {
     return;
   }
   map_switch.ranks.front() =
-      HeardStatus{.status = {.epoch = heard.epoch,
-                             .size = size,
-                             .is_open = true,
-                             .prepared = heard.version,
-                             .armed = heard.version,
-                             .armed_step = heard.arm_step},
-                  .heard = now};
+      ReceivedStatus{.status = {.epoch = last_received.epoch,
+                                .size = size,
+                                .is_open = true,
+                                .prepared = last_received.version,
+                                .armed = last_received.version,
+                                .armed_step = last_received.arm_step},
+                     .received_at = now};
 }
 
 namespace {
 
-// What the holder is to do besides arming.
-std::optional<OrderBody> HolderOrder(const Wish& wish, const RankStatus& own) {
-  if (wish.holder != own.rank || wish.hold_step == 0) {
+// The holder's order besides its own arm.
+std::optional<OrderBody> HolderOrder(const DesiredMap& desired_map,
+                                     const RankStatus& own) {
+  if (desired_map.holder != own.rank || desired_map.hold_step == 0) {
     return std::nullopt;
   }
-  if (wish.is_released) {
-    // All ranks are armed for arm_step and none for a pass before it.
-    const bool may_go = own.held != 0 && own.held <= wish.arm_step;
+  if (desired_map.is_released) {
+    // All ranks are armed for arm_step and none for an earlier pass.
+    const bool may_go = own.held != 0 && own.held <= desired_map.arm_step;
     return may_go ? std::optional<OrderBody>(Go{.step = own.held})
                   : std::nullopt;
   }
-  const bool may_hold = own.held == 0 && own.armed == 0 && wish.arm_step == 0 &&
-                        own.prepared == wish.version &&
-                        own.step < wish.hold_step;
-  return may_hold ? std::optional<OrderBody>(Hold{.step = wish.hold_step})
-                  : std::nullopt;
+  const bool may_hold =
+      own.held == 0 && own.armed == 0 && desired_map.arm_step == 0 &&
+      own.prepared == desired_map.version && own.step < desired_map.hold_step;
+  return may_hold
+             ? std::optional<OrderBody>(Hold{.step = desired_map.hold_step})
+             : std::nullopt;
 }
 
 }  // namespace
 
-std::optional<Order> NextOrder(const Wish& wish, const RankStatus& own) {
-  if (wish.epoch != own.epoch) {
+std::optional<Order> NextOrder(const DesiredMap& desired_map,
+                               const RankStatus& own) {
+  if (desired_map.epoch != own.epoch) {
     return std::nullopt;
   }
   Order order{.epoch = own.epoch, .expected_sequence = own.sequence};
-  const auto holder_order = HolderOrder(wish, own);
+  const auto holder_order = HolderOrder(desired_map, own);
   if (holder_order) {
     order.body = *holder_order;
     return order;
   }
-  const bool is_done = own.map >= wish.version;
-  if (wish.version == 0 || is_done) {
+  const bool is_done = own.map >= desired_map.version;
+  if (desired_map.version == 0 || is_done) {
     return std::nullopt;
   }
-  if (wish.arm_step != 0) {
-    const bool is_armed =
-        own.armed == wish.version && own.armed_step == wish.arm_step;
-    if (is_armed || own.prepared != wish.version) {
+  if (desired_map.arm_step != 0) {
+    const bool is_armed = own.armed == desired_map.version &&
+                          own.armed_step == desired_map.arm_step;
+    if (is_armed || own.prepared != desired_map.version) {
       return std::nullopt;
     }
-    order.body = Arm{.version = wish.version, .step = wish.arm_step};
+    order.body =
+        Arm{.version = desired_map.version, .step = desired_map.arm_step};
     return order;
   }
   const bool may_prepare =
-      own.prepared < wish.version && own.armed == 0 && !own.is_busy;
-  if (!may_prepare || wish.map.empty()) {
+      own.prepared < desired_map.version && own.armed == 0 && !own.is_busy;
+  if (!may_prepare || desired_map.map.empty()) {
     return std::nullopt;
   }
-  order.body = Prepare{.version = wish.version, .map = wish.map};
+  order.body = Prepare{.version = desired_map.version, .map = desired_map.map};
   return order;
 }
 
--- a/Libraries/LibMapSwitch/Switch.h
+++ b/Libraries/LibMapSwitch/Switch.h
@@ -1,25 +1,29 @@
-// The switch of a group from one expert map to the next, as the agent beside
-// rank 0 leads it. In every pass all ranks use one map:
+// The switch of a group from one expert map to the next, controlled by the
+// owner: the agent beside rank 0. In every pass all ranks use the same map:
 //
-//   prepare  all ranks copy the new map's experts
-//   hold     some other rank, the holder, keeps the group from beginning pass
-//            S, the next one or a few passes ahead
-//   arm      the owner's rank is to switch as pass S begins, then every other
-//   go       once every rank reports that it is armed for S
+//   prepare  all ranks copy the experts of the new map
+//   hold     a rank other than the owner's, the holder, keeps the group from
+//            beginning pass S, the next pass or one a few passes ahead
+//   arm      the owner's rank, then every other rank, is ordered to switch at
+//            the beginning of pass S
+//   go       the holder releases the group once every rank reports that it is
+//            armed for S
 //
-// Passes never begin S before all are armed, so that an order that is lost or
-// late makes the group wait and never splits it. From the hold on there is
-// only the way forward: nothing is ever disarmed, since an arm that was sent
-// may still arrive, and whoever finds a held group, a restarted agent too, can
-// finish what was begun from the reports alone. The lead needs no lease: only
-// one process runs beside rank 0, and orders of the one before are refused by
-// their expected sequence or are the same orders again.
+// Pass S does not begin before all ranks are armed, so a lost or late order
+// delays the group but never makes its ranks use different maps. Once a hold
+// was ordered, the switch can only be completed: no rank is ever disarmed,
+// since an arm order that was sent may still arrive. Any agent that finds a
+// held group, such as a restarted owner, can complete the switch from the
+// ranks' reports alone. The owner needs no lease: only one process runs beside
+// rank 0, and an order of its predecessor either fails its expected sequence or
+// equals the new owner's order.
 //
-// Failure: the owner's machine freezes between hold and go, and its server
-// cannot be reached either. It shows as a group that begins no pass until the
-// machine wakes. The hold therefore lies at another rank, and the owner's own
-// rank is armed before any other hears of the step: whoever heard of it knows
-// that the one rank that cannot be asked is armed, and may finish.
+// Failure: the owner's machine freezes between hold and go, and its model
+// server is unreachable too; the group begins no pass until the machine
+// recovers. Therefore another rank holds the group, and the owner's rank is
+// armed before the step is sent to any other rank. An agent that received the
+// step thus knows that the one unreachable rank is armed, and may complete the
+// switch.
 #pragma once
 
 #include <optional>
@@ -42,101 +46,105 @@
 
 std::string_view NameOf(SwitchPhase phase);
 
-// What every rank is to do.
-struct Wish {
+// The state of the switch that the owner wants at every rank.
+struct DesiredMap {
   uint64_t epoch = 0;
   Version version = 0;
   ExpertLists map;
-  // The pass that the holder is to keep the group from; 0 while the map is only
-  // to be prepared.
+  // The pass that the holder must not let begin; 0 while the map is only to be
+  // prepared.
   Step hold_step = 0;
   uint32_t holder = 0;
-  // The pass from which the map holds; 0 until it is held.
+  // The pass from which the map is in force; 0 until the group is held.
   Step arm_step = 0;
-  // Whether all ranks are armed, so that the holder lets go.
+  // Whether all ranks are armed, so that the holder may release the group.
   bool is_released = false;
 };
 
-// What is known of a rank, and when its agent said so.
-struct HeardStatus {
+// The last status received from a rank.
+struct ReceivedStatus {
   RankStatus status;
-  TimePoint heard;
+  TimePoint received_at;
 };
 
 struct MapSwitch {
   SwitchPhase phase = SwitchPhase::kIdle;
-  Wish wish;
-  // By rank; the own rank is 0.
-  std::vector<std::optional<HeardStatus>> ranks;
+  DesiredMap desired_map;
+  // By rank; the owner's rank is 0.
+  std::vector<std::optional<ReceivedStatus>> ranks;
   TimePoint since;
-  // When the ranks were told to arm, which is for how long a switch may have
-  // kept the group waiting.
+  // When arming began; from then on the switch may keep the group waiting.
   TimePoint arming_since;
-  // After a switch that took its time the next one waits: where orders get lost
-  // a better map gains less than a held group costs.
-  TimePoint rests_until;
-  // How long it lately took from the hold until all ranks were armed.
+  // No switch starts before this time. After a slow switch the next one is
+  // delayed: where orders are lost, a better map gains less than a held group
+  // costs.
+  TimePoint cooldown_until;
+  // Recent time from the hold until all ranks were armed.
   Duration arming_time{};
-  // How long a pass of the group takes at present, and when the one under way
-  // was first seen.
+  // Current duration of a pass of the group, and when the running pass was
+  // first seen.
   Duration pass = std::chrono::milliseconds(50);
   TimePoint pass_began;
-  // Whether a hold may be on its way; from then on nothing is given up.
-  bool is_hold_wished = false;
-  // The newest version that was ever wished or seen.
+  // Whether a hold was requested and may still arrive; from then on the switch
+  // can't be aborted.
+  bool is_hold_requested = false;
+  // The highest version that was requested or reported.
   Version newest = 0;
-  // Random, at each start of the owner's process: its first version lies so far
-  // beyond the newest that it has seen.
+  // Random, drawn when the owner's process starts: the distance of its first
+  // version from the newest one that was reported.
   //
-  // Failure: an owner dies while ranks copy the map of version 7, and nobody
-  // reports that version yet. The next owner gives it to another map, and the
-  // group goes on with both.
+  // Failure: an owner is killed while ranks copy the map of version 7, and no
+  // rank reports that version yet. The next owner would assign version 7 to
+  // another map, and the group would run with both.
   Version version_offset = 0;
-  // An agent that stands in for a silent owner knows the ranks by reports that
-  // are old and of different moments, so that it only ever finishes a switch
-  // that all ranks have prepared.
-  bool is_deputy = false;
-  // Names a failed switch in the log.
+  // Whether this is the state of a standby owner. Its reports are old and of
+  // different times, so it only completes a switch that all ranks have
+  // prepared.
+  bool is_standby = false;
+  // Why the last switch was aborted, for the log.
   std::string last_failure;
 };
 
-// Takes what a rank reports. Returns whether the group was formed anew.
+// Applies a rank's report. Returns whether the group was re-formed.
 bool HandleStatus(MapSwitch& map_switch,
                   const RankStatus& status,
                   TimePoint now);
 
-// Whether all ranks of an open group are heard and no switch is under way.
+// Whether all ranks of an open group have a fresh status and no switch is in
+// progress.
 bool is_ready_for_map(const MapSwitch& map_switch, TimePoint now);
 
-// Whether a group is held for which nothing is armed and nothing can be, so
-// that only a new switch, to whatever map, can let it go on.
+// Whether the group is held while no rank is armed or can become armed, so that
+// only a new switch, to any map, can release it.
 bool needs_switch(const MapSwitch& map_switch, TimePoint now);
 
-// Whether the switch under way can be replaced by one to another map: nothing
-// but copies was ordered for it.
+// Whether the switch in progress can be replaced by one to another map: only
+// copies were ordered for it.
 bool is_replaceable(const MapSwitch& map_switch);
 
-// A random offset for an owner that starts.
+// Returns a random version offset for an owner that starts.
 Version DrawVersionOffset(uint64_t random_bits);
 
-// Starts a switch to `map`; is_ready_for_map or is_replaceable must hold.
+// Starts a switch to `map`. Requires is_ready_for_map, needs_switch or
+// is_replaceable.
 void StartSwitch(MapSwitch& map_switch, ExpertLists map, TimePoint now);
 
-// Goes on: what the ranks are to do now is in the wish.
+// Advances the switch by what the ranks reported; updates the desired map.
 void Continue(MapSwitch& map_switch, TimePoint now);
 
-// The wish as a rank may know it by now.
-Wish WishFor(const MapSwitch& map_switch, uint32_t rank);
+// Returns the desired map that may be sent to the rank in the current phase.
+DesiredMap DesiredMapFor(const MapSwitch& map_switch, uint32_t rank);
 
-// For a deputy: takes rank 0, which it cannot reach, for armed if the owner
-// said so by naming the step before it fell silent.
-void TrustOwner(MapSwitch& map_switch,
-                const Wish& heard,
-                uint32_t size,
-                TimePoint now);
+// For a standby owner that can't reach rank 0: assumes that rank 0 is armed if
+// the last desired map received from the owner names the step.
+void InferOwnerArmed(MapSwitch& map_switch,
+                     const DesiredMap& last_received,
+                     uint32_t size,
+                     TimePoint now);
 
-// The next order of a rank's agent under its owner's wish, as its own server
-// reports its state.
-std::optional<Order> NextOrder(const Wish& wish, const RankStatus& own);
+// Returns the next order for a model server that reports the status `own`, if
+// the desired map requires one.
+std::optional<Order> NextOrder(const DesiredMap& desired_map,
+                               const RankStatus& own);
 
 }  // namespace bramleyspan::mapswitch
--- a/Libraries/LibMapSwitch/Tree.cc
+++ b/Libraries/LibMapSwitch/Tree.cc
@@ -14,12 +14,12 @@
   return rank != 0 && rank <= CountLeaders(tree);
 }
 
-uint32_t SuperiorOf(const Tree& tree, uint32_t rank) {
+uint32_t ParentOf(const Tree& tree, uint32_t rank) {
   const uint32_t leaders = CountLeaders(tree);
   return rank <= leaders || leaders == 0 ? 0 : 1 + (rank - 1) % leaders;
 }
 
-uint32_t CountLed(const Tree& tree, uint32_t leader) {
+uint32_t CountRepresented(const Tree& tree, uint32_t leader) {
   const uint32_t leaders = CountLeaders(tree);
   if (leader == 0 || leader > leaders) {
     return 0;
@@ -27,7 +27,7 @@
   return 1 + (tree.size - 1 - leader) / leaders;
 }
 
-bool is_teller(const Tree& tree, uint32_t rank, uint64_t step) {
+bool is_reporter(const Tree& tree, uint32_t rank, uint64_t step) {
   const uint32_t leaders = CountLeaders(tree);
   return leaders != 0 && rank != 0 && (rank - 1) % leaders == step % leaders;
 }
--- a/Libraries/LibMapSwitch/Tree.h
+++ b/Libraries/LibMapSwitch/Tree.h
@@ -1,7 +1,8 @@
-// Who tells whom in a group of ranks. The agents of a small group tell the
-// owner of its map, beside rank 0, themselves. In a large one a few leaders
-// stand between: each speaks for the ranks below it and passes on what the
-// owner says, so that no agent hears of more than its fan-out and the leaders.
+// The tree by which the agents of a group exchange messages. In a small group
+// each agent sends its updates to the owner, the agent beside rank 0. In a
+// large group a few leaders are in between: each represents some ranks and
+// forwards messages of the owner, so that no agent receives from more than its
+// fan-out plus the leaders.
 #pragma once
 
 #include <cstdint>
@@ -9,25 +10,27 @@
 namespace bramleyspan::mapswitch {
 
 struct Tree {
-  // Ranks of the group.
+  // Number of ranks in the group.
   uint32_t size = 0;
-  // Ranks that one agent tells and hears itself.
+  // Number of ranks with which one agent exchanges messages itself.
   uint32_t fan_out = 12;
 };
 
-// Leaders are ranks 1 to this number; none in a small group.
+// Returns the number of leaders, 0 in a small group. Leaders are ranks 1 to
+// this number.
 uint32_t CountLeaders(const Tree& tree);
 
 bool is_leader(const Tree& tree, uint32_t rank);
 
-// The rank whose agent hears of this one first; 0 for the owner itself.
-uint32_t SuperiorOf(const Tree& tree, uint32_t rank);
+// Returns the rank whose agent receives this rank's updates; 0 for the owner
+// itself.
+uint32_t ParentOf(const Tree& tree, uint32_t rank);
 
-// Ranks that a leader speaks for, itself among them.
-uint32_t CountLed(const Tree& tree, uint32_t leader);
+// Returns the number of ranks that a leader represents, itself included.
+uint32_t CountRepresented(const Tree& tree, uint32_t leader);
 
-// Whether it is a rank's turn to tell what it chose in a pass: that of the
-// ranks of one leader, which sums them up.
-bool is_teller(const Tree& tree, uint32_t rank, uint64_t step);
+// Whether the rank reports its expert counts of this pass. For each pass the
+// ranks of one leader report, and the leader adds them up.
+bool is_reporter(const Tree& tree, uint32_t rank, uint64_t step);
 
 }  // namespace bramleyspan::mapswitch
--- a/Libraries/LibPlacement/PassChoices.cc
+++ b/Libraries/LibPlacement/PassChoices.cc
@@ -17,7 +17,7 @@
 uint32_t CountTellers(uint32_t ranks, uint64_t step) {
   uint32_t count = 0;
   for (uint32_t rank = 0; rank < ranks; ++rank) {
-    count += is_teller(rank, ranks, step) ? 1 : 0;
+    count += is_reporter(rank, ranks, step) ? 1 : 0;
   }
   return count;
 }
@@ -53,7 +53,7 @@
 
 }  // namespace
 
-bool is_teller(uint32_t rank, uint32_t ranks, uint64_t step) {
+bool is_reporter(uint32_t rank, uint32_t ranks, uint64_t step) {
   const uint32_t turns = std::max(1U, ranks / kTellersPerPass);
   return rank % turns == step % turns;
 }
--- a/Libraries/LibPlacement/PassChoices.h
+++ b/Libraries/LibPlacement/PassChoices.h
@@ -24,7 +24,7 @@
 // Whether it is a rank's turn to tell what it chose in a pass. All ranks see
 // the same demand, and counts of 32 ranks in every pass would fill the owner's
 // link.
-bool is_teller(uint32_t rank, uint32_t ranks, uint64_t step);
+bool is_reporter(uint32_t rank, uint32_t ranks, uint64_t step);
 
 // Counts as small numbers of a unit: a byte each. What is lost is less than
 // 1/255 of the most chosen expert.
@@ -60,7 +60,7 @@
   uint32_t ranks = 0;
   uint32_t sets = 0;
   uint32_t experts = 0;
-  // How many tell of each pass, if not those that `is_teller` names.
+  // How many tell of each pass, if not those that `is_reporter` names.
   uint32_t tellers = 0;
 };
 
--- a/Services/bramleyspand/Gateway/RankAgents.cc
+++ b/Services/bramleyspand/Gateway/RankAgents.cc
@@ -134,7 +134,7 @@
       const mapswitch::Tree tree{.size = view->size,
                                  .fan_out = this->state.fleet().group_fan_out};
       for (const uint32_t above :
-           std::set<uint32_t>{0, mapswitch::SuperiorOf(tree, rank)}) {
+           std::set<uint32_t>{0, mapswitch::ParentOf(tree, rank)}) {
         const auto found = ranks.find(above);
         if (found == ranks.end()) {
           continue;
--- a/Services/bramleyspand/Rank/DesiredMaps.h
+++ b/Services/bramleyspand/Rank/DesiredMaps.h
@@ -1,5 +1,4 @@
-// What the owner of a group's map wants of the ranks, on its way to their
-// agents.
+// Sends the desired map of a group's owner to the agents of the ranks.
 #pragma once
 
 #include <deque>
@@ -11,34 +10,35 @@
 
 namespace bramleyspan::rankd {
 
-// How the map is told, once for all that are told it.
-struct MapAsTold {
+// A desired map, encoded once for all agents that it is sent to.
+struct EncodedMap {
   mapswitch::Version version = 0;
   uint64_t epoch = 0;
   mapswitch::Version base = 0;
-  std::string whole;
-  // Empty where there is no base.
+  std::string complete;
+  // Empty if there is no base.
   std::string changes;
 };
 
-// The side of the owner, and of a leader that passes on what the owner said.
-class WishTeller {
+// Used by the owner, and by a leader that forwards the owner's messages.
+class DesiredMapSender {
  public:
-  explicit WishTeller(RankState& state) : state(state) {}
+  explicit DesiredMapSender(RankState& state) : state(state) {}
 
-  // Tells all agents what the switch under way wants, at each tick and at once
-  // where it is new. What the own rank is to do is left in the state.
-  void Tell(TimePoint now);
+  // Sends the desired map of the switch in progress to all agents: at once if
+  // it is new, and repeatedly until the switch ends. Sets the own rank's
+  // desired map in the state.
+  void SendIfDue(TimePoint now);
 
-  // Tells the agents of `ranks`, each address once. The map goes only to those
-  // that do not have it yet: it is by far the most of a wish, and a wish is
-  // said many times. Maps take half of the link, one after the other: in one
-  // burst those that a queue has no room for would be lost, the same ones each
-  // time.
-  void Pass(const mapswitch::Wish& wish,
-            std::map<uint32_t, RankInfo>& ranks,
-            const std::vector<std::string>& servers,
-            TimePoint now);
+  // Sends the desired map to the agents of `ranks`, once to each address. The
+  // expert lists go only to agents that don't have them yet: they are by far
+  // the largest part of the message, and it is repeated often. They use half of
+  // the link, one agent after the other: in one burst those that don't fit into
+  // a queue would be lost, the same ones each time.
+  void SendTo(const mapswitch::DesiredMap& desired_map,
+              std::map<uint32_t, RankInfo>& ranks,
+              const std::vector<std::string>& servers,
+              TimePoint now);
 
  private:
   struct QueuedMap {
@@ -46,29 +46,31 @@
     std::string bytes;
   };
 
-  const MapAsTold& Describe(const mapswitch::Wish& wish);
-  // How long maps of so many bytes take on their part of the link.
-  Duration TimeFor(size_t bytes) const;
+  const EncodedMap& EncodeMap(const mapswitch::DesiredMap& desired_map);
+  // Returns the time to send so many bytes on the part of the link that maps
+  // may use.
+  Duration TransmissionTime(size_t bytes) const;
   void SendQueued();
   std::vector<std::string> ServersIfDue(TimePoint now);
 
   RankState& state;
-  TimePoint told_at;
-  TimePoint servers_told;
-  mapswitch::SwitchPhase told_phase = mapswitch::SwitchPhase::kIdle;
-  mapswitch::Version told_version = 0;
-  mapswitch::Step told_hold = 0;
-  MapAsTold told;
+  TimePoint sent_at;
+  TimePoint servers_sent_at;
+  mapswitch::SwitchPhase sent_phase = mapswitch::SwitchPhase::kIdle;
+  mapswitch::Version sent_version = 0;
+  mapswitch::Step sent_hold_step = 0;
+  EncodedMap encoded;
   std::deque<QueuedMap> queue;
   size_t queued_bytes = 0;
   bool is_sending = false;
 };
 
-enum class Taking { kRefused, kKnown, kNew };
+enum class DesiredMapResult { kRefused, kKnown, kNew };
 
-// The other agents' side: takes a wish that is not older than the known one.
-Taking TakeWish(RankState& state,
-                const membership::wire::MapWishT& wish,
-                TimePoint now);
+// Applies a desired map that was received, unless it is older than the known
+// one.
+DesiredMapResult ApplyDesiredMap(RankState& state,
+                                 const membership::wire::MapWishT& desired_map,
+                                 TimePoint now);
 
 }  // namespace bramleyspan::rankd
--- a/Services/bramleyspand/Rank/Leader.cc
+++ b/Services/bramleyspand/Rank/Leader.cc
@@ -14,29 +14,29 @@
 
 using membership::wire::RankNewsT;
 
-// What is not heard again for so long is not passed on: the owner takes what a
-// bundle holds for fresh.
-constexpr Duration kFresh = std::chrono::milliseconds(130);
-constexpr Duration kForgotten = std::chrono::seconds(2);
-// Where nothing changes.
-constexpr Duration kLongestSilence = std::chrono::milliseconds(80);
-// Ranks change together: their news go up together.
-constexpr Duration kGatherTime = std::chrono::milliseconds(3);
-// Addresses change seldom.
+// An older update is not forwarded: the owner takes every status in a bundle as
+// fresh.
+constexpr Duration kLongestUpdateAge = std::chrono::milliseconds(130);
+constexpr Duration kExpiredAfter = std::chrono::seconds(2);
+// If nothing changes.
+constexpr Duration kLongestBundleInterval = std::chrono::milliseconds(80);
+// Ranks change at the same time: their updates are sent in one bundle.
+constexpr Duration kBatchTime = std::chrono::milliseconds(3);
+// Addresses seldom change.
 constexpr uint64_t kBundlesPerAddress = 8;
 
-std::unique_ptr<RankNewsT> InShort(const RankNewsT& news, bool has_address) {
-  auto in_short = std::make_unique<RankNewsT>(news);
-  in_short->status->group.clear();
-  in_short->status->size = 0;
+std::unique_ptr<RankNewsT> Abridge(const RankNewsT& update, bool has_address) {
+  auto abridged = std::make_unique<RankNewsT>(update);
+  abridged->status->group.clear();
+  abridged->status->size = 0;
   if (!has_address) {
-    in_short->status->address.clear();
+    abridged->status->address.clear();
   }
-  in_short->counts.clear();
-  in_short->count_unit = 0;
-  in_short->counts_epoch = 0;
-  in_short->counts_step = 0;
-  return in_short;
+  abridged->counts.clear();
+  abridged->count_unit = 0;
+  abridged->counts_epoch = 0;
+  abridged->counts_step = 0;
+  return abridged;
 }
 
 }  // namespace
@@ -46,65 +46,66 @@
          mapswitch::is_leader(this->state.tree(), this->state.own->rank);
 }
 
-bool Leader::HandleNews(const std::string& from_ip, RankNewsT news) {
-  if (!this->is_leading() || news.status == nullptr) {
+bool Leader::HandleUpdate(const std::string& from_ip, RankNewsT update) {
+  if (!this->is_leading() || update.status == nullptr) {
     return false;
   }
   const mapswitch::RankStatus& own = *this->state.own;
-  const uint32_t rank = news.status->rank;
-  const bool is_led =
-      news.status->group == own.group && news.status->size == own.size &&
+  const uint32_t rank = update.status->rank;
+  const bool is_represented_here =
+      update.status->group == own.group && update.status->size == own.size &&
       rank < own.size &&
       (rank == own.rank ||
-       mapswitch::SuperiorOf(this->state.tree(), rank) == own.rank);
-  if (!is_led) {
+       mapswitch::ParentOf(this->state.tree(), rank) == own.rank);
+  if (!is_represented_here) {
     return false;
   }
   const TimePoint now = EventLoop::Now();
-  const mapswitch::RankStatus status = FromWire(*news.status);
-  Note(this->infos[rank], from_ip, news);
-  this->AddCounts(news, now);
-  LedRank& known = this->led[rank];
-  const bool is_new = known.heard == TimePoint{};
-  // That a map has come is waited for, too.
-  const bool is_change = mapswitch::is_change(status, known.status) ||
-                         news.wish_version != known.news.wish_version;
-  this->has_news_for_gateways = this->has_news_for_gateways || is_new ||
-                                status.is_open != known.status.is_open ||
-                                status.epoch != known.status.epoch;
-  // Lists wait for the next bundle.
-  if (news.lengths.empty() && !is_new) {
-    news.lengths = std::move(known.news.lengths);
-    news.experts = std::move(known.news.experts);
-  }
-  known = {.news = std::move(news), .heard = now, .status = status};
-  if (is_change) {
-    this->TellSoon();
+  const mapswitch::RankStatus status = FromWire(*update.status);
+  RecordUpdate(this->infos[rank], from_ip, update);
+  this->AddCounts(update, now);
+  RepresentedRank& known = this->represented[rank];
+  const bool is_new = known.received_at == TimePoint{};
+  // The owner also waits for the report that a map has arrived.
+  const bool is_state_change =
+      mapswitch::is_state_change(status, known.status) ||
+      update.wish_version != known.update.wish_version;
+  this->has_gateway_update = this->has_gateway_update || is_new ||
+                             status.is_open != known.status.is_open ||
+                             status.epoch != known.status.epoch;
+  // Lists are kept for the next bundle.
+  if (update.lengths.empty() && !is_new) {
+    update.lengths = std::move(known.update.lengths);
+    update.experts = std::move(known.update.experts);
+  }
+  known = {.update = std::move(update), .received_at = now, .status = status};
+  if (is_state_change) {
+    this->ScheduleBundle();
   }
   return true;
 }
 
-void Leader::AddCounts(const RankNewsT& news, TimePoint now) {
-  if (news.counts.empty() || !this->state.shape) {
+void Leader::AddCounts(const RankNewsT& update, TimePoint now) {
+  if (update.counts.empty() || !this->state.shape) {
     return;
   }
-  const std::vector<uint32_t> counts =
-      placement::UnpackCounts({.counts = news.counts, .unit = news.count_unit});
-  this->TakeSum(placement::AddChoices(
-      this->choices,
-      {.rank = news.status->rank,
-       .epoch = news.counts_epoch,
-       .step = news.counts_step,
-       .counts = counts},
-      {.ranks = this->state.own->size,
-       .sets = this->state.shape->sets,
-       .experts = this->state.shape->experts,
-       .tellers =
-           mapswitch::CountLed(this->state.tree(), this->state.own->rank)},
-      now));
+  const std::vector<uint32_t> counts = placement::UnpackCounts(
+      {.counts = update.counts, .unit = update.count_unit});
+  this->QueueSum(
+      placement::AddChoices(this->choices,
+                            {.rank = update.status->rank,
+                             .epoch = update.counts_epoch,
+                             .step = update.counts_step,
+                             .counts = counts},
+                            {.ranks = this->state.own->size,
+                             .sets = this->state.shape->sets,
+                             .experts = this->state.shape->experts,
+                             .tellers = mapswitch::CountRepresented(
+                                 this->state.tree(), this->state.own->rank)},
+                            now));
 }
 
-void Leader::TakeSum(const std::optional<placement::Choices>& sum) {
+void Leader::QueueSum(const std::optional<placement::Choices>& sum) {
   if (!sum) {
     return;
   }
@@ -116,34 +117,34 @@
   }
   this->sum_epoch = this->choices.epoch;
   this->sum_step = this->choices.step;
-  this->TellSoon();
+  this->ScheduleBundle();
 }
 
-void Leader::TellSoon() {
-  if (std::exchange(this->is_telling_soon, true)) {
+void Leader::ScheduleBundle() {
+  if (std::exchange(this->is_bundle_scheduled, true)) {
     return;
   }
-  this->state.loop.RunAfter(kGatherTime, [this] {
-    this->is_telling_soon = false;
-    this->Tell(EventLoop::Now());
+  this->state.loop.RunAfter(kBatchTime, [this] {
+    this->is_bundle_scheduled = false;
+    this->SendBundle(EventLoop::Now());
   });
 }
 
-void Leader::Tell(TimePoint now) {
-  const std::string owner = this->state.FindSuperior(0);
+void Leader::SendBundle(TimePoint now) {
+  const std::string owner = this->state.FindParentIp(0);
   if (!this->is_leading() || owner.empty()) {
     return;
   }
-  this->told_at = now;
+  this->sent_at = now;
   membership::wire::NewsBundleT bundle;
   bundle.group = this->state.own->group;
   bundle.size = this->state.own->size;
   const bool has_addresses = this->bundles++ % kBundlesPerAddress == 0;
-  for (auto& [rank, known] : this->led) {
-    if (now - known.heard <= kFresh) {
-      bundle.news.push_back(InShort(known.news, has_addresses));
-      known.news.lengths.clear();
-      known.news.experts.clear();
+  for (auto& [rank, known] : this->represented) {
+    if (now - known.received_at <= kLongestUpdateAge) {
+      bundle.news.push_back(Abridge(known.update, has_addresses));
+      known.update.lengths.clear();
+      known.update.experts.clear();
     }
   }
   if (!this->sum.empty()) {
@@ -156,30 +157,30 @@
   this->state.datagrams->Send(owner, membership::Encode(std::move(bundle)));
 }
 
-void Leader::PassWish(TimePoint now) {
-  if (this->is_leading() && this->state.wish) {
-    this->wishes.Pass(*this->state.wish, this->infos, this->state.servers_heard,
-                      now);
-    this->state.servers_heard.clear();
+void Leader::ForwardDesiredMap(TimePoint now) {
+  if (this->is_leading() && this->state.desired_map) {
+    this->desired_map_sender.SendTo(*this->state.desired_map, this->infos,
+                                    this->state.servers_to_forward, now);
+    this->state.servers_to_forward.clear();
   }
 }
 
 void Leader::Tick(TimePoint now) {
   if (!this->is_leading()) {
-    this->led.clear();
+    this->represented.clear();
     this->infos.clear();
     return;
   }
-  std::erase_if(this->led, [this, now](const auto& item) {
-    const bool is_gone = now - item.second.heard > kForgotten;
-    if (is_gone) {
+  std::erase_if(this->represented, [this, now](const auto& item) {
+    const bool is_expired = now - item.second.received_at > kExpiredAfter;
+    if (is_expired) {
       this->infos.erase(item.first);
     }
-    return is_gone;
+    return is_expired;
   });
-  this->TakeSum(placement::TakeOverdue(this->choices, now));
-  if (now - this->told_at > kLongestSilence) {
-    this->Tell(now);
+  this->QueueSum(placement::TakeOverdue(this->choices, now));
+  if (now - this->sent_at > kLongestBundleInterval) {
+    this->SendBundle(now);
   }
   if (now - this->heartbeat_at > kHeartbeatInterval) {
     this->heartbeat_at = now;
@@ -187,8 +188,8 @@
   }
 }
 
-// Who is above, and the gateways one after the other: nobody else tells the
-// agents of these ranks.
+// Sends followers the agents further up and the gateways, a gateway per
+// heartbeat: they have no other source for these.
 void Leader::SendHeartbeats(TimePoint now) {
   membership::wire::HeartbeatT heartbeat;
   for (const auto* member : membership::MembersToTell(
@@ -196,12 +197,12 @@
     heartbeat.members.push_back(
         std::make_unique<membership::wire::MemberT>(*member));
   }
-  for (const auto& [rank, superior] : this->state.superiors) {
+  for (const auto& [rank, parent] : this->state.parents) {
     auto place = std::make_unique<membership::wire::RankPlaceT>();
     place->group = this->state.own->group;
-    place->epoch = superior.epoch;
+    place->epoch = parent.epoch;
     place->rank = rank;
-    place->ip = superior.ip;
+    place->ip = parent.ip;
     heartbeat.ranks.push_back(std::move(place));
   }
   const std::string bytes = membership::Encode(std::move(heartbeat));
@@ -218,17 +219,17 @@
   summary.group = this->state.own->group;
   summary.epoch = this->state.own->epoch;
   summary.size = this->state.own->size;
-  for (const auto& [rank, known] : this->led) {
+  for (const auto& [rank, known] : this->represented) {
     const RankInfo& info = this->infos.at(rank);
-    if (now - known.heard < kStale && info.epoch == summary.epoch) {
+    if (now - known.received_at < kStale && info.epoch == summary.epoch) {
       summary.rows.push_back(ToRow(known.status, info.server, info.ip));
     }
   }
   return summary;
 }
 
-bool Leader::TakeNewsForGateways() {
-  return std::exchange(this->has_news_for_gateways, false);
+bool Leader::ConsumeGatewayUpdate() {
+  return std::exchange(this->has_gateway_update, false);
 }
 
 }  // namespace bramleyspan::rankd
--- a/Services/bramleyspand/Rank/MapOwner.cc
+++ b/Services/bramleyspand/Rank/MapOwner.cc
@@ -25,9 +25,9 @@
 constexpr telemetry::MetricName kExpertCopies{
     "bramleyspan_expert_copies_total", "Copies of experts that were ordered."};
 
-// A map in preparation is replaced if its skew is this much above what was
-// planned.
-constexpr double kOutdatedBy = 0.35;
+// A map in preparation is replaced if its present skew exceeds the planned skew
+// by this much.
+constexpr double kOutdatedSkewMargin = 0.35;
 
 std::string Rounded(double value) {
   constexpr double kHundredths = 100;
@@ -35,20 +35,20 @@
       .substr(0, 4);
 }
 
-// The map in force, set by set and rank by rank; nothing while a rank has not
-// told what it holds under it. One that was switched to from here is known
-// before the ranks can tell.
+// Returns the map in force, by set and rank, or nothing while a rank has not
+// reported what it holds under it. A map that this owner switched to is known
+// before the ranks report it.
 std::optional<mapswitch::ExpertLists> MapInForce(const RankState& state) {
   const mapswitch::RankStatus& own = *state.own;
-  const mapswitch::Wish& wish = state.map_switch.wish;
-  if (wish.epoch == own.epoch && wish.version == own.map &&
-      wish.map.size() == state.shape->sets) {
-    return wish.map;
+  const mapswitch::DesiredMap& desired_map = state.map_switch.desired_map;
+  if (desired_map.epoch == own.epoch && desired_map.version == own.map &&
+      desired_map.map.size() == state.shape->sets) {
+    return desired_map.map;
   }
-  const HeldMap& held = state.map_in_force;
-  if (held.epoch == own.epoch && held.version == own.map &&
-      held.map.size() == state.shape->sets) {
-    return held.map;
+  const VersionedMap& base = state.map_in_force;
+  if (base.epoch == own.epoch && base.version == own.map &&
+      base.map.size() == state.shape->sets) {
+    return base.map;
   }
   mapswitch::ExpertLists map(state.shape->sets);
   for (uint32_t rank = 0; rank < own.size; ++rank) {
@@ -64,7 +64,7 @@
   return map;
 }
 
-// Returns whether what is in demand has jumped.
+// Returns whether demand has shifted.
 bool Observe(RankState& state,
              const std::optional<placement::Choices>& sample) {
   const uint64_t jumps = state.drift.jumps;
@@ -81,17 +81,18 @@
   return true;
 }
 
-// `tellers` is 0 where each rank in its turn tells its own.
+// `senders` is the number of senders of a pass's counts; 0 if ranks take turns
+// and each sends its own.
 bool ObserveCounts(RankState& state,
                    const placement::RankChoices& chosen,
-                   uint32_t tellers) {
+                   uint32_t senders) {
   if (!state.shape || chosen.counts.empty()) {
     return false;
   }
   const placement::ChoicesShape shape{.ranks = state.own->size,
                                       .sets = state.shape->sets,
                                       .experts = state.shape->experts,
-                                      .tellers = tellers};
+                                      .tellers = senders};
   return Observe(state, placement::AddChoices(state.choices, chosen, shape,
                                               EventLoop::Now()));
 }
@@ -104,40 +105,41 @@
   return paces;
 }
 
-// Whether the map that is being prepared was planned for a demand that has
-// jumped since: waiting for its copies and only then copying the right ones
-// takes twice the time at the worst skew.
+// Whether the map in preparation was planned for a demand that has shifted
+// since. Waiting for its copies before copying the right ones would take twice
+// the time at the worst skew.
 bool is_outdated(const RankState& state) {
   const MapSwitch& map_switch = state.map_switch;
   if (!mapswitch::is_replaceable(map_switch) ||
-      state.drift.jumps == state.planned_at_jump ||
-      state.drift.present.size() != map_switch.wish.map.size()) {
+      state.drift.jumps == state.planned_at_shift ||
+      state.drift.present.size() != map_switch.desired_map.map.size()) {
     return false;
   }
-  return placement::MeanSkew(map_switch.wish.map, state.drift, PacesOf(state)) >
-         state.planned_skew + kOutdatedBy;
+  return placement::MeanSkew(map_switch.desired_map.map, state.drift,
+                             PacesOf(state)) >
+         state.planned_skew + kOutdatedSkewMargin;
 }
 
-// Whether a plan made now would be the last one again.
-bool is_fruitless(const RankState& state, double skew, double least_gain) {
+// Whether a plan made now would equal the last rejected one.
+bool is_rejected_again(const RankState& state, double skew, double least_gain) {
   constexpr double kSameSkew = 0.03;
-  const auto& last = state.fruitless;
+  const auto& last = state.rejected_plan;
   return last && last->map == state.own->map &&
          last->jumps == state.drift.jumps &&
          std::abs(last->skew - skew) < kSameSkew && last->gain < least_gain;
 }
 
-// Plans all sets and begins a switch if it gains enough.
-void StartSwitchIfWorthIt(RankState& state, bool is_forced, TimePoint now) {
+// Plans all sets and starts a switch if it gains enough or is forced.
+void StartSwitchIfWorthwhile(RankState& state, bool is_forced, TimePoint now) {
   const auto map = MapInForce(state);
   if (!map || state.drift.present.size() != map->size()) {
     return;
   }
   const double least_gain = placement::LeastGainOfSwitch(
-      state.map_switch.pass, state.places.settings.longest_pause);
+      state.map_switch.pass, state.rank_admission.settings.longest_pause);
   const double skew = placement::MeanSkew(*map, state.drift, PacesOf(state));
   telemetry::SetGauge(kSkew, {}, skew);
-  if (!is_forced && is_fruitless(state, skew, least_gain)) {
+  if (!is_forced && is_rejected_again(state, skew, least_gain)) {
     return;
   }
   placement::SwitchPlan plan = placement::PlanSwitch(
@@ -147,37 +149,37 @@
        .spare = state.shape->spare,
        .copies_per_rank = placement::CopiesPerRank(state.shape->copy),
        .paces = PacesOf(state)});
-  const bool is_worth_it =
+  const bool is_worthwhile =
       plan.copies > 0 && plan.skew_before - plan.skew_after >= least_gain;
-  if (!is_worth_it && !is_forced) {
-    state.fruitless = {.map = state.own->map,
-                       .jumps = state.drift.jumps,
-                       .skew = skew,
-                       .gain = plan.skew_before - plan.skew_after};
+  if (!is_worthwhile && !is_forced) {
+    state.rejected_plan = {.map = state.own->map,
+                           .jumps = state.drift.jumps,
+                           .skew = skew,
+                           .gain = plan.skew_before - plan.skew_after};
     return;
   }
   state.planned_skew = plan.skew_after;
-  state.planned_at_jump = state.drift.jumps;
+  state.planned_at_shift = state.drift.jumps;
   mapswitch::StartSwitch(state.map_switch, std::move(plan.lists), now);
   telemetry::Count(kMapSwitches, {});
   telemetry::Count(kExpertCopies, {}, plan.copies);
   Log(LogLevel::kInfo, "map", "switch_started",
-      {{"version", std::to_string(state.map_switch.wish.version)},
-       {"epoch", std::to_string(state.map_switch.wish.epoch)},
+      {{"version", std::to_string(state.map_switch.desired_map.version)},
+       {"epoch", std::to_string(state.map_switch.desired_map.epoch)},
        {"copies", std::to_string(plan.copies)},
        {"least_gain", Rounded(least_gain)},
        {"skew_met", Rounded(plan.skew_before)},
        {"skew_planned", Rounded(plan.skew_after)}});
 }
 
-// One line a group in each interval, so that a late stream can be laid beside
-// what its group went through: passes, load and skew.
+// Logs one line for each group and interval, so that a late stream can be
+// compared with its group's passes, load and skew at that time.
 void LogGroup(RankState& state, TimePoint now) {
   constexpr Duration kInterval = std::chrono::milliseconds(250);
-  if (now - state.group_logged < kInterval) {
+  if (now - state.group_logged_at < kInterval) {
     return;
   }
-  state.group_logged = now;
+  state.group_logged_at = now;
   uint32_t running = 0;
   uint32_t queued = 0;
   uint32_t most = 0;
@@ -208,56 +210,56 @@
 
 }  // namespace
 
-void Note(RankInfo& info,
-          const std::string& from_ip,
-          const membership::wire::RankNewsT& news) {
+void RecordUpdate(RankInfo& info,
+                  const std::string& from_ip,
+                  const membership::wire::RankNewsT& update) {
   info.ip = from_ip;
-  info.wish_version = news.wish_version;
-  info.base_version = news.base_version;
-  if (info.epoch != news.status->epoch) {
+  info.received_version = update.wish_version;
+  info.base_version = update.base_version;
+  if (info.epoch != update.status->epoch) {
     info.held = {};
-    info.epoch = news.status->epoch;
+    info.epoch = update.status->epoch;
   }
-  const auto server = ParseAddress(news.status->address);
+  const auto server = ParseAddress(update.status->address);
   if (server.has_value()) {
     info.server = server.value();
   }
-  if (!news.lengths.empty()) {
-    info.held = {.version = news.status->map, .sets = {}};
+  if (!update.lengths.empty()) {
+    info.held = {.version = update.status->map, .sets = {}};
   }
   size_t at = 0;
-  for (const uint16_t length : news.lengths) {
-    const size_t end = std::min(news.experts.size(), at + length);
+  for (const uint16_t length : update.lengths) {
+    const size_t end = std::min(update.experts.size(), at + length);
     info.held.sets.emplace_back(
-        news.experts.begin() + static_cast<int64_t>(at),
-        news.experts.begin() + static_cast<int64_t>(end));
+        update.experts.begin() + static_cast<int64_t>(at),
+        update.experts.begin() + static_cast<int64_t>(end));
     at = end;
   }
 }
 
-bool HandleRankNews(RankState& state,
-                    const std::string& from_ip,
-                    const membership::wire::RankNewsT& news) {
-  if (news.status == nullptr || !state.is_owner() ||
-      news.status->group != state.own->group ||
-      news.status->size != state.own->size ||
-      news.status->rank >= news.status->size) {
+bool HandleRankUpdate(RankState& state,
+                      const std::string& from_ip,
+                      const membership::wire::RankNewsT& update) {
+  if (update.status == nullptr || !state.is_owner() ||
+      update.status->group != state.own->group ||
+      update.status->size != state.own->size ||
+      update.status->rank >= update.status->size) {
     return false;
   }
-  const mapswitch::RankStatus status = FromWire(*news.status);
+  const mapswitch::RankStatus status = FromWire(*update.status);
   const TimePoint now = EventLoop::Now();
   if (mapswitch::HandleStatus(state.map_switch, status, now)) {
     Log(LogLevel::kWarning, "map", "group_formed_anew",
         {{"rank", std::to_string(status.rank)},
          {"epoch", std::to_string(status.epoch)}});
   }
-  Note(state.ranks[status.rank], from_ip, news);
-  const std::vector<uint32_t> counts =
-      placement::UnpackCounts({.counts = news.counts, .unit = news.count_unit});
+  RecordUpdate(state.ranks[status.rank], from_ip, update);
+  const std::vector<uint32_t> counts = placement::UnpackCounts(
+      {.counts = update.counts, .unit = update.count_unit});
   return ObserveCounts(state,
                        {.rank = status.rank,
-                        .epoch = news.counts_epoch,
-                        .step = news.counts_step,
+                        .epoch = update.counts_epoch,
+                        .step = update.counts_step,
                         .counts = counts},
                        0);
 }
@@ -271,13 +273,13 @@
   if (!is_own_group || bundle.news.empty()) {
     return false;
   }
-  for (const auto& news : bundle.news) {
-    if (news == nullptr || news->status == nullptr) {
+  for (const auto& update : bundle.news) {
+    if (update == nullptr || update->status == nullptr) {
       continue;
     }
-    news->status->group = bundle.group;
-    news->status->size = bundle.size;
-    HandleRankNews(state, from_ip, *news);
+    update->status->group = bundle.group;
+    update->status->size = bundle.size;
+    HandleRankUpdate(state, from_ip, *update);
   }
   const std::vector<uint32_t> counts = placement::UnpackCounts(
       {.counts = bundle.counts, .unit = bundle.count_unit});
@@ -288,19 +290,20 @@
                        1);
 }
 
-void LeadMap(RankState& state, TimePoint now) {
+void ManageMap(RankState& state, TimePoint now) {
   MapSwitch& map_switch = state.map_switch;
   const SwitchPhase phase_before = map_switch.phase;
-  map_switch.pass = admission::PassOf(state.places, now);
-  map_switch.pass_began =
-      state.places.passes.empty() ? TimePoint{} : state.places.passes.back().at;
+  map_switch.pass = admission::PassOf(state.rank_admission, now);
+  map_switch.pass_began = state.rank_admission.passes.empty()
+                              ? TimePoint{}
+                              : state.rank_admission.passes.back().at;
   Observe(state, placement::TakeOverdue(state.choices, now));
   mapswitch::Continue(map_switch, now);
   if (map_switch.phase != phase_before) {
     Log(LogLevel::kInfo, "map", "switch_phase",
-        {{"version", std::to_string(map_switch.wish.version)},
+        {{"version", std::to_string(map_switch.desired_map.version)},
          {"phase", std::string(mapswitch::NameOf(map_switch.phase))},
-         {"arm_step", std::to_string(map_switch.wish.arm_step)},
+         {"arm_step", std::to_string(map_switch.desired_map.arm_step)},
          {"step", std::to_string(state.own->step)},
          {"failure", map_switch.last_failure}});
     map_switch.last_failure.clear();
@@ -312,7 +315,7 @@
   const bool may_start = mapswitch::is_ready_for_map(map_switch, now) ||
                          is_outdated(state) || is_forced;
   if (has_work && state.shape && may_start) {
-    StartSwitchIfWorthIt(state, is_forced, now);
+    StartSwitchIfWorthwhile(state, is_forced, now);
   }
   if (has_work && state.shape) {
     LogGroup(state, now);
--- a/Services/bramleyspand/Rank/MapOwner.h
+++ b/Services/bramleyspand/Rank/MapOwner.h
@@ -1,27 +1,27 @@
-// The part of a rank's agent that leads its group's map, beside rank 0.
+// The part of a rank's agent that controls its group's map; runs beside rank 0.
 #pragma once
 
 #include "Services/bramleyspand/Rank/RankState.h"
 
 namespace bramleyspan::rankd {
 
-// Takes what a rank's agent tells. Returns whether demand has jumped, so that
-// the map should be looked at at once.
-bool HandleRankNews(RankState& state,
-                    const std::string& from_ip,
-                    const membership::wire::RankNewsT& news);
+// Handles an update of a rank. Returns whether demand has shifted, so that the
+// map should be checked at once.
+bool HandleRankUpdate(RankState& state,
+                      const std::string& from_ip,
+                      const membership::wire::RankNewsT& update);
 
-// Takes what a leader tells of its ranks; the same for it.
+// Handles a leader's bundle of its ranks' updates. Returns the same.
 bool HandleBundle(RankState& state,
                   const std::string& from_ip,
                   const membership::wire::NewsBundleT& bundle);
 
-// Takes from a rank's news what the owner and leaders keep of it.
-void Note(RankInfo& info,
-          const std::string& from_ip,
-          const membership::wire::RankNewsT& news);
+// Records what the owner and leaders keep of a rank's update.
+void RecordUpdate(RankInfo& info,
+                  const std::string& from_ip,
+                  const membership::wire::RankNewsT& update);
 
-// Goes on with the switch under way, or begins one that is worth it.
-void LeadMap(RankState& state, TimePoint now);
+// Advances the switch in progress, or starts one that gains enough.
+void ManageMap(RankState& state, TimePoint now);
 
 }  // namespace bramleyspan::rankd
--- a/Services/bramleyspand/Rank/OrderSender.cc
+++ b/Services/bramleyspand/Rank/OrderSender.cc
@@ -15,31 +15,31 @@
 using telemetry::Log;
 using telemetry::LogLevel;
 
-constexpr Duration kFarCallTimeout = std::chrono::milliseconds(700);
-// An agent that has said nothing for so long while the group is held is left
-// aside: its server gets its order from here.
-constexpr Duration kSilentAgent = std::chrono::milliseconds(300);
-// An order that was not answered may be lost, and the whole group may wait for
-// it: it is sent again soon. One that was accepted takes its time.
+constexpr Duration kRemoteCallTimeout = std::chrono::milliseconds(700);
+// If an agent has sent nothing for so long while the group is held, its server
+// gets its orders from here.
+constexpr Duration kAgentUnresponsiveAfter = std::chrono::milliseconds(300);
+// An order that was not answered may be lost while the whole group waits for
+// it, so it is repeated soon. An accepted one takes time to be carried out.
 constexpr Duration kRepeatLostAfter = std::chrono::milliseconds(40);
-constexpr Duration kRepeatTakenAfter = std::chrono::milliseconds(1500);
-constexpr Duration kLossRemembered = std::chrono::seconds(2);
+constexpr Duration kRepeatAcceptedAfter = std::chrono::milliseconds(1500);
+constexpr Duration kLossWindow = std::chrono::seconds(2);
 constexpr Duration kOwnOrderTimeout = std::chrono::milliseconds(40);
 constexpr Duration kRelayedOrderTimeout = std::chrono::milliseconds(60);
-// Orders are given from here after so many gateways in a row passed none on.
-constexpr int kRelaysTried = 3;
-constexpr Duration kRelayPause = std::chrono::milliseconds(500);
+// After so many consecutive failures to relay, orders are sent directly.
+constexpr int kMaxFailedRelays = 3;
+constexpr Duration kRelayCooldown = std::chrono::milliseconds(500);
 constexpr int kNotFound = 404;
 constexpr int kBadGateway = 502;
-constexpr Duration kFarOrderInterval = std::chrono::milliseconds(500);
+constexpr Duration kRemotePollInterval = std::chrono::milliseconds(500);
 
 }  // namespace
 
-void Orders::SendOwn(const Order& order, TimePoint now) {
-  if (this->is_underway || this->is_repeat(order, now)) {
+void OrderSender::SendOwn(const Order& order, TimePoint now) {
+  if (this->is_order_pending || this->is_repeat(order, now)) {
     return;
   }
-  this->is_underway = true;
+  this->is_order_pending = true;
   const auto relay =
       this->is_relayed(order, now) ? this->PickRelay() : std::nullopt;
   if (relay) {
@@ -47,23 +47,24 @@
     return;
   }
   this->Send(*this->state.fleet().engine, order, kOwnOrderTimeout,
-             [this](bool is_taken, bool is_answered) {
-               this->HandleOwnEnded(is_taken, is_answered);
+             [this](bool is_accepted, bool is_answered) {
+               this->HandleOwnOrderEnded(is_accepted, is_answered);
              });
 }
 
-void Orders::HandleOwnEnded(bool is_taken, bool is_answered) {
-  this->is_last_taken = is_taken;
+void OrderSender::HandleOwnOrderEnded(bool is_accepted, bool is_answered) {
+  this->is_last_accepted = is_accepted;
   if (!is_answered) {
-    this->last_lost = EventLoop::Now();
+    this->last_lost_at = EventLoop::Now();
   }
-  this->is_underway = false;
-  this->on_own_ended();
+  this->is_order_pending = false;
+  this->on_own_order_ended();
 }
 
-// The holder's hold and arm, and the owner's arm: if the machine froze right
-// after giving one, nobody could reach the rank or know how it stands.
-bool Orders::is_relayed(const Order& order, TimePoint now) const {
+// Whether the order is relayed: the holder's hold and arm, and the owner's arm.
+// If the machine froze right after sending one itself, no other agent could
+// reach the rank or know its state.
+bool OrderSender::is_relayed(const Order& order, TimePoint now) const {
   if (now < this->no_relay_until) {
     return false;
   }
@@ -73,7 +74,7 @@
           (own.held != 0 || own.rank == 0));
 }
 
-std::optional<Address> Orders::PickRelay() {
+std::optional<Address> OrderSender::PickRelay() {
   std::vector<std::string> ips;
   for (const auto& [name, known] : this->state.members.known) {
     if (known.member.is_entry) {
@@ -87,7 +88,7 @@
                  this->state.fleet().peer_port};
 }
 
-void Orders::SendOwnByRelay(const Address& relay, const Order& order) {
+void OrderSender::SendOwnByRelay(const Address& relay, const Order& order) {
   const std::string kind = mapswitch::NameOf(order.body);
   http::DirectCall::Fetch(
       this->state.loop,
@@ -99,7 +100,8 @@
        .body = this->state.adapter.write_order(order),
        .timeout = kRelayedOrderTimeout},
       [this, kind, relay](CallEnd end, const http::Response& response) {
-        // A gateway that says that the server did not answer has done its part.
+        // A gateway that answers that the server did not respond has relayed
+        // the order.
         const bool is_relayed =
             end == CallEnd::kWhole && response.status != kNotFound;
         Log(LogLevel::kInfo, "rank", "relayed_order_ended",
@@ -108,39 +110,39 @@
              {"end", std::string(http::NameOf(end))},
              {"status", std::to_string(response.status)}});
         this->relays_failed = is_relayed ? 0 : this->relays_failed + 1;
-        if (this->relays_failed >= kRelaysTried) {
+        if (this->relays_failed >= kMaxFailedRelays) {
           this->relays_failed = 0;
-          this->no_relay_until = EventLoop::Now() + kRelayPause;
+          this->no_relay_until = EventLoop::Now() + kRelayCooldown;
         }
-        this->HandleOwnEnded(
+        this->HandleOwnOrderEnded(
             is_relayed && (response.status == 200 || response.status == 202),
             response.status != kBadGateway);
       });
 }
 
-void Orders::SendFar(const Address& server, const Order& order) {
-  this->Send(server, order, kFarCallTimeout, [](bool, bool) {});
+void OrderSender::SendRemote(const Address& server, const Order& order) {
+  this->Send(server, order, kRemoteCallTimeout, [](bool, bool) {});
 }
 
-// A rank that copies reports neither that it is busy nor that the map is
-// prepared, and would be ordered again at each reading.
-bool Orders::is_repeat(const Order& order, TimePoint now) {
+// A rank that copies experts reports neither that it is busy nor that the map
+// is prepared; it would get the same order again after each poll.
+bool OrderSender::is_repeat(const Order& order, TimePoint now) {
   const std::string written = this->state.adapter.write_order(order);
   const Duration wait =
-      this->is_last_taken ? kRepeatTakenAfter : kRepeatLostAfter;
+      this->is_last_accepted ? kRepeatAcceptedAfter : kRepeatLostAfter;
   if (written == this->last_order && now - this->last_order_at < wait) {
     return true;
   }
   this->last_order = written;
   this->last_order_at = now;
-  this->is_last_taken = false;
+  this->is_last_accepted = false;
   return false;
 }
 
-void Orders::Send(const Address& server,
-                  const Order& order,
-                  Duration timeout,
-                  OnEnded on_ended) {
+void OrderSender::Send(const Address& server,
+                       const Order& order,
+                       Duration timeout,
+                       OnEnded on_ended) {
   const std::string kind = mapswitch::NameOf(order.body);
   const bool is_own = server == *this->state.fleet().engine;
   http::DirectCall::Fetch(
@@ -162,20 +164,20 @@
              {"expected_sequence", std::to_string(order.expected_sequence)},
              {"end", std::string(http::NameOf(end))},
              {"status", std::to_string(is_answered ? response.status : 0)}});
-        const bool is_taken =
+        const bool is_accepted =
             is_answered && (response.status == 200 || response.status == 202);
-        on_ended(is_taken, is_answered);
+        on_ended(is_accepted, is_answered);
       });
 }
 
-void Orders::OrderSilentRanks(TimePoint now) {
-  if (now - this->last_far_order < kFarOrderInterval) {
+void OrderSender::OrderUnresponsiveRanks(TimePoint now) {
+  if (now - this->last_remote_poll < kRemotePollInterval) {
     return;
   }
-  this->last_far_order = now;
+  this->last_remote_poll = now;
   for (const auto& [rank, info] : this->state.ranks) {
-    const auto& heard = this->state.map_switch.ranks.at(rank);
-    if (heard && now - heard->heard < kSilentAgent) {
+    const auto& known = this->state.map_switch.ranks.at(rank);
+    if (known && now - known->received_at < kAgentUnresponsiveAfter) {
       continue;
     }
     http::DirectCall::Fetch(
@@ -183,17 +185,18 @@
         {.target = info.server,
          .path = this->state.adapter.report_path,
          .headers = {{"host", Format(info.server)}},
-         .timeout = kFarCallTimeout},
+         .timeout = kRemoteCallTimeout},
         [this, server = info.server](CallEnd end,
                                      const http::Response& response) {
           if (end == CallEnd::kWhole && response.status == 200) {
-            this->HandleFarReport(server, response.body);
+            this->HandleRemoteReport(server, response.body);
           }
         });
   }
 }
 
-void Orders::HandleFarReport(const Address& server, const std::string& body) {
+void OrderSender::HandleRemoteReport(const Address& server,
+                                     const std::string& body) {
   const auto status = this->state.adapter.parse_report(body);
   if (status.has_error()) {
     return;
@@ -201,14 +204,14 @@
   mapswitch::HandleStatus(this->state.map_switch, status.value(),
                           EventLoop::Now());
   const auto order =
-      mapswitch::NextOrder(this->state.map_switch.wish, status.value());
+      mapswitch::NextOrder(this->state.map_switch.desired_map, status.value());
   if (order) {
-    this->SendFar(server, *order);
+    this->SendRemote(server, *order);
   }
 }
 
-bool Orders::is_losing(TimePoint now) const {
-  return now - this->last_lost < kLossRemembered;
+bool OrderSender::has_lost_order(TimePoint now) const {
+  return now - this->last_lost_at < kLossWindow;
 }
 
 }  // namespace bramleyspan::rankd
--- a/Services/bramleyspand/Rank/OrderSender.h
+++ b/Services/bramleyspand/Rank/OrderSender.h
@@ -1,5 +1,5 @@
-// Orders from a rank's agent: to the server beside it, and to servers whose own
-// agents have fallen silent.
+// Sends orders from a rank's agent to the model server beside it, and to
+// servers whose own agents are unresponsive.
 #pragma once
 
 #include <functional>
@@ -10,57 +10,58 @@
 
 namespace bramleyspan::rankd {
 
-class Orders {
+class OrderSender {
  public:
-  // `on_own_ended` is called once an order to the own server has ended.
-  Orders(RankState& state, std::function<void()> on_own_ended)
-      : state(state), on_own_ended(std::move(on_own_ended)) {}
-  Orders(const Orders&) = delete;
-  Orders& operator=(const Orders&) = delete;
+  // `on_own_order_ended` is called when an order to the own server has ended.
+  OrderSender(RankState& state, std::function<void()> on_own_order_ended)
+      : state(state), on_own_order_ended(std::move(on_own_order_ended)) {}
+  OrderSender(const OrderSender&) = delete;
+  OrderSender& operator=(const OrderSender&) = delete;
 
-  // Sends the own server an order, unless one is under way or the same one went
-  // out a moment ago. One that the group would wait for if this machine froze
-  // goes by way of a gateway where one answers.
+  // Sends an order to the own server, unless one is pending or the same one was
+  // sent recently. An order that the group would wait for if this machine froze
+  // is relayed by a gateway if one answers.
   void SendOwn(const mapswitch::Order& order, TimePoint now);
 
-  // Sends another agent's server an order.
-  void SendFar(const Address& server, const mapswitch::Order& order);
+  // Sends an order to another agent's server.
+  void SendRemote(const Address& server, const mapswitch::Order& order);
 
-  // The group waits for a rank whose agent is gone: its server is asked and
-  // ordered from here, which costs more and works.
-  void OrderSilentRanks(TimePoint now);
+  // Polls the servers of ranks whose agents are unresponsive and sends them
+  // their orders, since the group waits for them. Remote calls cost more than
+  // local ones.
+  void OrderUnresponsiveRanks(TimePoint now);
 
-  // Whether an order to the own server was lost a moment ago.
-  bool is_losing(TimePoint now) const;
+  // Whether an order to the own server was lost recently.
+  bool has_lost_order(TimePoint now) const;
 
  private:
-  using OnEnded = std::function<void(bool is_taken, bool is_answered)>;
+  using OnEnded = std::function<void(bool is_accepted, bool is_answered)>;
 
   bool is_repeat(const mapswitch::Order& order, TimePoint now);
-  void HandleOwnEnded(bool is_taken, bool is_answered);
+  void HandleOwnOrderEnded(bool is_accepted, bool is_answered);
   void Send(const Address& server,
             const mapswitch::Order& order,
             Duration timeout,
             OnEnded on_ended);
   bool is_relayed(const mapswitch::Order& order, TimePoint now) const;
-  // A gateway to send an order through, another one each time; none if none is
-  // known.
+  // Returns a gateway to relay an order, another one each time, or nothing if
+  // none is known.
   std::optional<Address> PickRelay();
   void SendOwnByRelay(const Address& relay, const mapswitch::Order& order);
-  void HandleFarReport(const Address& server, const std::string& body);
+  void HandleRemoteReport(const Address& server, const std::string& body);
 
   RankState& state;
-  std::function<void()> on_own_ended;
-  bool is_underway = false;
+  std::function<void()> on_own_order_ended;
+  bool is_order_pending = false;
   std::string last_order;
   TimePoint last_order_at;
-  TimePoint last_lost;
-  bool is_last_taken = false;
-  TimePoint last_far_order;
+  TimePoint last_lost_at;
+  bool is_last_accepted = false;
+  TimePoint last_remote_poll;
   size_t relays_tried = 0;
-  // Gateways in a row that passed nothing on.
+  // Number of consecutive orders that the chosen gateway did not relay.
   int relays_failed = 0;
-  // Until then no gateway is tried.
+  // No gateway is tried before this time.
   TimePoint no_relay_until;
 };
 
--- a/Services/bramleyspand/Rank/RankMessages.cc
+++ b/Services/bramleyspand/Rank/RankMessages.cc
@@ -15,16 +15,17 @@
 
 using Lists = std::vector<std::vector<uint16_t>>;
 
-membership::wire::MapWishT InShort(const mapswitch::Wish& wish,
-                                   const std::string& group) {
+membership::wire::MapWishT WithoutLists(
+    const mapswitch::DesiredMap& desired_map,
+    const std::string& group) {
   membership::wire::MapWishT wire;
   wire.group = group;
-  wire.epoch = wish.epoch;
-  wire.version = wish.version;
-  wire.hold_step = wish.hold_step;
-  wire.holder = wish.holder;
-  wire.arm_step = wish.arm_step;
-  wire.is_released = wish.is_released;
+  wire.epoch = desired_map.epoch;
+  wire.version = desired_map.version;
+  wire.hold_step = desired_map.hold_step;
+  wire.holder = desired_map.holder;
+  wire.arm_step = desired_map.arm_step;
+  wire.is_released = desired_map.is_released;
   return wire;
 }
 
@@ -42,13 +43,13 @@
   }
 }
 
-Lists ReadLists(const membership::wire::MapWishT& wish) {
-  std::vector<uint16_t> experts = wish.experts;
-  experts.insert(experts.end(), wish.small_experts.begin(),
-                 wish.small_experts.end());
+Lists DecodeLists(const membership::wire::MapWishT& desired_map) {
+  std::vector<uint16_t> experts = desired_map.experts;
+  experts.insert(experts.end(), desired_map.small_experts.begin(),
+                 desired_map.small_experts.end());
   Lists lists;
   size_t at = 0;
-  for (const uint8_t length : wish.lengths) {
+  for (const uint8_t length : desired_map.lengths) {
     const size_t end = std::min(experts.size(), at + length);
     lists.emplace_back(experts.begin() + static_cast<int64_t>(at),
                        experts.begin() + static_cast<int64_t>(end));
@@ -57,7 +58,7 @@
   return lists;
 }
 
-mapswitch::ExpertLists BySets(Lists lists, uint32_t ranks) {
+mapswitch::ExpertLists GroupBySet(Lists lists, uint32_t ranks) {
   mapswitch::ExpertLists map;
   for (size_t i = 0; i < lists.size() && ranks > 0; ++i) {
     if (i % ranks == 0) {
@@ -134,11 +135,11 @@
           .held = status.held};
 }
 
-membership::wire::MapWishT ToWire(const mapswitch::Wish& wish,
+membership::wire::MapWishT ToWire(const mapswitch::DesiredMap& desired_map,
                                   const std::string& group) {
-  auto wire = InShort(wish, group);
+  auto wire = WithoutLists(desired_map, group);
   std::vector<std::vector<uint16_t>> lists;
-  for (const auto& set : wish.map) {
+  for (const auto& set : desired_map.map) {
     lists.insert(lists.end(), set.begin(), set.end());
   }
   AddLists(wire, lists);
@@ -146,36 +147,37 @@
 }
 
 std::optional<membership::wire::MapWishT> ToWireAsChanges(
-    const mapswitch::Wish& wish,
+    const mapswitch::DesiredMap& desired_map,
     const std::string& group,
-    const HeldMap& base) {
-  const auto changes = mapswitch::Compare(base.map, wish.map);
-  if (!changes || base.epoch != wish.epoch || base.version == 0) {
+    const VersionedMap& base) {
+  const auto changes = mapswitch::Compare(base.map, desired_map.map);
+  if (!changes || base.epoch != desired_map.epoch || base.version == 0) {
     return std::nullopt;
   }
-  auto wire = InShort(wish, group);
+  auto wire = WithoutLists(desired_map, group);
   wire.base_version = base.version;
-  wire.changed = changes->places;
+  wire.changed = changes->indices;
   AddLists(wire, changes->lists);
   return wire;
 }
 
-mapswitch::Wish FromWire(const membership::wire::MapWishT& wish,
-                         uint32_t ranks,
-                         const HeldMap& base) {
-  mapswitch::Wish result{.epoch = wish.epoch,
-                         .version = wish.version,
-                         .hold_step = wish.hold_step,
-                         .holder = wish.holder,
-                         .arm_step = wish.arm_step,
-                         .is_released = wish.is_released};
-  auto lists = ReadLists(wish);
-  if (wish.base_version == 0) {
-    result.map = BySets(std::move(lists), ranks);
+mapswitch::DesiredMap FromWire(const membership::wire::MapWishT& desired_map,
+                               uint32_t ranks,
+                               const VersionedMap& base) {
+  mapswitch::DesiredMap result{.epoch = desired_map.epoch,
+                               .version = desired_map.version,
+                               .hold_step = desired_map.hold_step,
+                               .holder = desired_map.holder,
+                               .arm_step = desired_map.arm_step,
+                               .is_released = desired_map.is_released};
+  auto lists = DecodeLists(desired_map);
+  if (desired_map.base_version == 0) {
+    result.map = GroupBySet(std::move(lists), ranks);
     return result;
   }
-  if (wish.base_version == base.version && wish.epoch == base.epoch) {
-    result.map = mapswitch::Apply(base.map, {.places = wish.changed,
+  if (desired_map.base_version == base.version &&
+      desired_map.epoch == base.epoch) {
+    result.map = mapswitch::Apply(base.map, {.indices = desired_map.changed,
                                              .lists = std::move(lists)})
                      .value_or(mapswitch::ExpertLists{});
   }
--- a/Services/bramleyspand/Rank/RankMessages.h
+++ b/Services/bramleyspand/Rank/RankMessages.h
@@ -1,4 +1,5 @@
-// The datagrams between the agents of a group, as values of the libraries.
+// Converts between the datagrams of a group's agents and the types of the
+// libraries.
 #pragma once
 
 #include <optional>
@@ -13,27 +14,30 @@
 
 membership::wire::RankStatusT ToWire(const mapswitch::RankStatus& status,
                                      const Address& server);
-// What gateways need of it to choose ranks; the map is no matter of theirs.
+// Returns only what gateways need to choose ranks; they don't use the expert
+// map.
 membership::wire::RankStatusT ToWireForGateways(
     const mapswitch::RankStatus& status,
     const Address& server);
 
 mapswitch::RankStatus FromWire(const membership::wire::RankStatusT& status);
 
-// With the whole map, or what differs from the map of `base`.
-membership::wire::MapWishT ToWire(const mapswitch::Wish& wish,
+// Returns the message with the complete map.
+membership::wire::MapWishT ToWire(const mapswitch::DesiredMap& desired_map,
                                   const std::string& group);
+// Returns the message with the differences from the map of `base`, or nothing
+// if the map can't be encoded against it.
 std::optional<membership::wire::MapWishT> ToWireAsChanges(
-    const mapswitch::Wish& wish,
+    const mapswitch::DesiredMap& desired_map,
     const std::string& group,
-    const HeldMap& base);
-// The map is empty where none is told, or where it is told against one that
-// `base` is not.
-mapswitch::Wish FromWire(const membership::wire::MapWishT& wish,
-                         uint32_t ranks,
-                         const HeldMap& base);
-
-// A rank of a leader's as gateways need it.
+    const VersionedMap& base);
+// The map is empty if the message has none, or has differences from a map other
+// than `base`.
+mapswitch::DesiredMap FromWire(const membership::wire::MapWishT& desired_map,
+                               uint32_t ranks,
+                               const VersionedMap& base);
+
+// Returns the row of a represented rank in a leader's summary for gateways.
 membership::wire::RankRow ToRow(const mapswitch::RankStatus& status,
                                 const Address& server,
                                 const std::string& agent_ip);
--- a/Services/bramleyspand/Rank/RankPoller.cc
+++ b/Services/bramleyspand/Rank/RankPoller.cc
@@ -17,9 +17,8 @@
 
 }  // namespace
 
-void RankReadings::CallServer(
-    const std::string& path,
-    std::function<void(Result<std::string>)> on_done) {
+void RankPoller::CallServer(const std::string& path,
+                            std::function<void(Result<std::string>)> on_done) {
   http::DirectCall::Fetch(
       this->state.loop,
       {.target = *this->state.fleet().engine,
@@ -39,41 +38,42 @@
       });
 }
 
-void RankReadings::ReadReport() {
-  if (std::exchange(this->is_reading_report, true)) {
+void RankPoller::PollReport() {
+  if (std::exchange(this->is_polling_report, true)) {
     return;
   }
   this->CallServer(
       this->state.adapter.report_path, [this](Result<std::string> body) {
-        this->is_reading_report = false;
+        this->is_polling_report = false;
         if (body.has_error()) {
-          this->NoteEngine(false, Describe(body.error()));
+          this->RecordEngineState(false, Describe(body.error()));
           return;
         }
         auto status = this->state.adapter.parse_report(body.value());
         if (status.has_value()) {
-          this->NoteEngine(true, "");
+          this->RecordEngineState(true, "");
           this->events.on_status(std::move(status).assume_value());
         }
       });
 }
 
-void RankReadings::NoteEngine(bool is_reached, const std::string& reason) {
-  if (std::exchange(this->is_engine_reached, is_reached) != is_reached) {
-    Log(is_reached ? LogLevel::kInfo : LogLevel::kWarning, "rank",
-        is_reached ? "engine_regained" : "engine_lost", {{"reason", reason}});
+void RankPoller::RecordEngineState(bool is_reachable,
+                                   const std::string& reason) {
+  if (std::exchange(this->is_engine_reachable, is_reachable) != is_reachable) {
+    Log(is_reachable ? LogLevel::kInfo : LogLevel::kWarning, "rank",
+        is_reachable ? "engine_regained" : "engine_lost", {{"reason", reason}});
   }
 }
 
-void RankReadings::ReadLists() {
-  if (std::exchange(this->is_reading_lists, true)) {
+void RankPoller::PollLists() {
+  if (std::exchange(this->is_polling_lists, true)) {
     return;
   }
   const auto version = this->state.own->map;
   const auto epoch = this->state.own->epoch;
   this->CallServer(this->state.adapter.lists_path,
                    [this, version, epoch](const Result<std::string>& body) {
-                     this->is_reading_lists = false;
+                     this->is_polling_lists = false;
                      if (body.has_error() || !this->state.own ||
                          this->state.own->map != version ||
                          this->state.own->epoch != epoch) {
@@ -88,13 +88,13 @@
                    });
 }
 
-void RankReadings::ReadCounts() {
-  if (std::exchange(this->is_reading_counts, true)) {
+void RankPoller::PollCounts() {
+  if (std::exchange(this->is_polling_counts, true)) {
     return;
   }
   this->CallServer(this->state.adapter.counts_path,
                    [this](const Result<std::string>& body) {
-                     this->is_reading_counts = false;
+                     this->is_polling_counts = false;
                      if (body.has_value()) {
                        this->HandleCounts(body.value());
                        this->events.on_counts();
@@ -102,19 +102,19 @@
                    });
 }
 
-bool RankReadings::is_teller(mapswitch::Step step) const {
+bool RankPoller::is_reporter(mapswitch::Step step) const {
   const mapswitch::Tree tree = this->state.tree();
   return mapswitch::CountLeaders(tree) == 0
-             ? placement::is_teller(this->state.own->rank, tree.size, step)
-             : mapswitch::is_teller(tree, this->state.own->rank, step);
+             ? placement::is_reporter(this->state.own->rank, tree.size, step)
+             : mapswitch::is_reporter(tree, this->state.own->rank, step);
 }
 
-bool RankReadings::is_counts_pass(mapswitch::Step step) const {
+bool RankPoller::is_counts_pass(mapswitch::Step step) const {
   return mapswitch::CountLeaders(this->state.tree()) == 0 ||
-         this->is_teller(step) || this->is_teller(step + 1);
+         this->is_reporter(step) || this->is_reporter(step + 1);
 }
 
-void RankReadings::HandleCounts(const std::string& body) {
+void RankPoller::HandleCounts(const std::string& body) {
   auto parsed = this->state.adapter.parse_counts(body);
   if (parsed.has_error()) {
     return;
@@ -122,18 +122,19 @@
   auto& last = this->state.last_counts;
   const auto& counts = parsed.value().counts;
   const auto& own = this->state.own;
-  // Where passes in between were not read, they would all count as this one.
+  // If passes in between were not read, their counts would be added to this
+  // one.
   const bool is_next =
       last && (parsed.value().step <= last->step + 1 ||
                mapswitch::CountLeaders(this->state.tree()) == 0);
-  const bool goes_on = is_next && last->epoch == parsed.value().epoch &&
-                       last->counts.size() == counts.size();
-  // What was not told of an earlier pass would mix with this one.
+  const bool is_continuous = is_next && last->epoch == parsed.value().epoch &&
+                             last->counts.size() == counts.size();
+  // Counts of an earlier pass that were not sent must not be added to this one.
   this->state.new_counts.clear();
-  if (goes_on && own && this->is_teller(parsed.value().step)) {
+  if (is_continuous && own && this->is_reporter(parsed.value().step)) {
     this->state.new_counts.resize(counts.size(), 0);
     for (size_t i = 0; i < counts.size(); ++i) {
-      // Counts start anew with the rank.
+      // Counters restart from zero with the rank.
       if (counts[i] >= last->counts[i]) {
         this->state.new_counts[i] =
             static_cast<uint32_t>(counts[i] - last->counts[i]);
--- a/Services/bramleyspand/Rank/RankPoller.h
+++ b/Services/bramleyspand/Rank/RankPoller.h
@@ -1,5 +1,5 @@
-// Reads the rank beside this agent: its report, the lists of its experts and
-// how often they were chosen. One call of each kind at a time.
+// Polls the model server beside this agent: its report, the lists of its
+// experts and its expert counts. At most one call of each kind is in progress.
 #pragma once
 
 #include <functional>
@@ -9,41 +9,41 @@
 
 namespace bramleyspan::rankd {
 
-// What hears of what was read.
-struct ReadingEvents {
+// Called with the results of polls.
+struct PollEvents {
   std::function<void(mapswitch::RankStatus)> on_status;
-  // New choices lie in the state.
+  // New expert counts are in the state.
   std::function<void()> on_counts;
 };
 
-class RankReadings {
+class RankPoller {
  public:
-  RankReadings(RankState& state, ReadingEvents events)
+  RankPoller(RankState& state, PollEvents events)
       : state(state), events(std::move(events)) {}
 
-  void ReadReport();
-  // Into the state's `own_held`.
-  void ReadLists();
-  // Whether what is chosen up to this pass is to be told, or is where that of
-  // the next one begins. Counts of a large group take long to read.
+  void PollReport();
+  // Stores the result in the state's `own_held`.
+  void PollLists();
+  // Whether the counts up to this pass are to be sent, or are the start of
+  // those of the next pass. Counts of a large group take long to read.
   bool is_counts_pass(mapswitch::Step step) const;
-  // Into the state's `last_counts` and `new_counts`.
-  void ReadCounts();
+  // Stores the result in the state's `last_counts` and `new_counts`.
+  void PollCounts();
 
  private:
   void CallServer(const std::string& path,
                   std::function<void(Result<std::string>)> on_done);
-  void NoteEngine(bool is_reached, const std::string& reason);
-  // Whether it is the rank's turn to tell what it chose in this pass.
-  bool is_teller(mapswitch::Step step) const;
+  void RecordEngineState(bool is_reachable, const std::string& reason);
+  // Whether the rank reports its expert counts of this pass.
+  bool is_reporter(mapswitch::Step step) const;
   void HandleCounts(const std::string& body);
 
   RankState& state;
-  ReadingEvents events;
-  bool is_reading_report = false;
-  bool is_reading_lists = false;
-  bool is_reading_counts = false;
-  bool is_engine_reached = true;
+  PollEvents events;
+  bool is_polling_report = false;
+  bool is_polling_lists = false;
+  bool is_polling_counts = false;
+  bool is_engine_reachable = true;
 };
 
 }  // namespace bramleyspan::rankd
--- a/Services/bramleyspand/Rank/RankRole.cc
+++ b/Services/bramleyspand/Rank/RankRole.cc
@@ -1,7 +1,7 @@
-// The role of the small process beside each model server: it reads its rank's
-// reports and counts, which are free and fresh there, tells the gateways how
-// the rank fares, carries out what the owner of the group's map wants, and
-// leads the map itself beside rank 0.
+// The role of the agent process beside each model server. It polls its rank's
+// reports and counts, which is cheap and fast on the same machine, sends the
+// rank's status to gateways, carries out what the owner of the group's map
+// wants, and is the owner itself beside rank 0.
 #include <nlohmann/json.hpp>
 #include <utility>
 
@@ -9,14 +9,14 @@
 #include "LibHTTP/Ingress.h"
 #include "LibTelemetry/Log.h"
 #include "LibTelemetry/Metrics.h"
-#include "Services/bramleyspand/Rank/StandbyOwner.h"
+#include "Services/bramleyspand/Rank/DesiredMaps.h"
 #include "Services/bramleyspand/Rank/Leader.h"
 #include "Services/bramleyspand/Rank/MapOwner.h"
 #include "Services/bramleyspand/Rank/OrderSender.h"
 #include "Services/bramleyspand/Rank/RankPoller.h"
 #include "Services/bramleyspand/Rank/RankState.h"
 #include "Services/bramleyspand/Rank/RankUpdateSender.h"
-#include "Services/bramleyspand/Rank/DesiredMaps.h"
+#include "Services/bramleyspand/Rank/StandbyOwner.h"
 #include "Services/bramleyspand/Role.h"
 
 namespace bramleyspan::rankd {
@@ -30,23 +30,24 @@
 using telemetry::LogLevel;
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(30);
-// Gateways ask for places and hear of changes at once; this is to be known.
+// Gateways probe for permits and are notified of changes at once; the heartbeat
+// only keeps this agent known to them.
 constexpr uint64_t kTicksPerHeartbeat = 14;
-// In a switch the group may wait for this rank.
+// During a switch the group may wait for this rank.
 constexpr int kReportsPerTickOfSwitch = 3;
 constexpr Duration kShapeInterval = std::chrono::seconds(5);
 constexpr Duration kFirstShapeInterval = std::chrono::milliseconds(300);
-constexpr Duration kFarCallTimeout = std::chrono::milliseconds(700);
-// A group that is held for so long may wait for a rank whose agent is gone.
+constexpr Duration kRemoteCallTimeout = std::chrono::milliseconds(700);
+// A group that is held for so long may wait for a rank whose agent has failed.
 constexpr Duration kLongHold = std::chrono::milliseconds(300);
 
-// What comes next is told against the whole map that was switched to.
-void KeepMap(RankState& state, const RankStatus& status) {
-  const auto& wish = state.wish;
-  if (wish && wish->epoch == status.epoch && wish->version == status.map &&
-      !wish->map.empty()) {
+// Keeps the complete map that was switched to as the base of the next one.
+void RecordMapInForce(RankState& state, const RankStatus& status) {
+  const auto& desired_map = state.desired_map;
+  if (desired_map && desired_map->epoch == status.epoch &&
+      desired_map->version == status.map && !desired_map->map.empty()) {
     state.map_in_force = {
-        .epoch = status.epoch, .version = status.map, .map = wish->map};
+        .epoch = status.epoch, .version = status.map, .map = desired_map->map};
   }
 }
 
@@ -54,23 +55,25 @@
  public:
   RankRole(EventLoop& loop, const Settings& settings)
       : state(loop, settings),
-        readings(this->state,
-                 {.on_status =
-                      [this](RankStatus status) {
-                        this->HandleOwnStatus(std::move(status));
-                      },
-                  .on_counts = [this] { this->teller.TellSuperior(); }}),
-        wishes(this->state),
-        leader(this->state, this->wishes),
-        teller(this->state,
-               this->leader,
-               [this](const membership::wire::RankNewsT& news) {
-                 this->TakeNews(this->state.settings.ip, news);
-               }),
-        orders(this->state, [this] { this->readings.ReadReport(); }),
-        deputy(this->state, [this](const Address& server, const Order& order) {
-          this->orders.SendFar(server, order);
-        }) {}
+        poller(
+            this->state,
+            {.on_status =
+                 [this](RankStatus status) {
+                   this->HandleOwnStatus(std::move(status));
+                 },
+             .on_counts = [this] { this->update_sender.SendUpdateIfDue(); }}),
+        desired_map_sender(this->state),
+        leader(this->state, this->desired_map_sender),
+        update_sender(this->state,
+                      this->leader,
+                      [this](const membership::wire::RankNewsT& update) {
+                        this->ApplyUpdate(this->state.settings.ip, update);
+                      }),
+        order_sender(this->state, [this] { this->poller.PollReport(); }),
+        standby_owner(this->state,
+                      [this](const Address& server, const Order& order) {
+                        this->order_sender.SendRemote(server, order);
+                      }) {}
 
   Result<void> Start() {
     const FleetSettings& fleet = this->state.fleet();
@@ -92,12 +95,12 @@
     this->metrics = TRY(this->Serve({ip, fleet.metrics_port}));
     this->internal = TRY(this->Serve({ip, fleet.peer_port}));
     this->Tick();
-    this->AskForShape();
+    this->RequestShape();
     return Succeed();
   }
 
-  // Nothing of a request runs through an agent, so it may stop at once, but
-  // not while it holds the group.
+  // No request passes through an agent, so it may stop at once, but not while
+  // its rank holds the group.
   void StartDrain() override {
     if (std::exchange(this->is_draining, true)) {
       return;
@@ -141,28 +144,28 @@
     this->state.loop.RunAfter(kTickInterval, [this] { this->Tick(); });
     const TimePoint now = EventLoop::Now();
     membership::Forget(this->state.members, now);
-    this->readings.ReadReport();
+    this->poller.PollReport();
     this->leader.Tick(now);
     if (this->ticks % kTicksPerHeartbeat == 0 ||
-        this->leader.TakeNewsForGateways()) {
-      this->teller.TellGateways();
+        this->leader.ConsumeGatewayUpdate()) {
+      this->update_sender.SendToGateways();
     }
-    for (int part = 1; this->state.wish && part < kReportsPerTickOfSwitch;
-         ++part) {
+    for (int part = 1;
+         this->state.desired_map && part < kReportsPerTickOfSwitch; ++part) {
       this->state.loop.RunAfter(kTickInterval * part / kReportsPerTickOfSwitch,
-                                [this] { this->readings.ReadReport(); });
+                                [this] { this->poller.PollReport(); });
     }
   }
 
   void HandleOwnStatus(RankStatus status) {
-    RankState& now_state = this->state;
-    const bool is_new_map = !now_state.own ||
-                            now_state.own->map != status.map ||
-                            now_state.own->epoch != status.epoch;
-    const bool is_news_for_gateways = !now_state.own ||
-                                      now_state.own->epoch != status.epoch ||
-                                      now_state.own->group != status.group ||
-                                      now_state.own->is_open != status.is_open;
+    RankState& rank_state = this->state;
+    const bool is_new_map = !rank_state.own ||
+                            rank_state.own->map != status.map ||
+                            rank_state.own->epoch != status.epoch;
+    const bool is_gateway_update = !rank_state.own ||
+                                   rank_state.own->epoch != status.epoch ||
+                                   rank_state.own->group != status.group ||
+                                   rank_state.own->is_open != status.is_open;
     if (is_new_map) {
       Log(LogLevel::kInfo, "rank", "map_in_use",
           {{"group", status.group},
@@ -170,65 +173,65 @@
            {"epoch", std::to_string(status.epoch)},
            {"map", std::to_string(status.map)},
            {"step", std::to_string(status.step)}});
-      now_state.own_held = {};
-      KeepMap(now_state, status);
-      now_state.wish.reset();
-      this->teller.TellListsSoon();
+      rank_state.own_held = {};
+      RecordMapInForce(rank_state, status);
+      rank_state.desired_map.reset();
+      this->update_sender.IncludeListsSoon();
     }
-    now_state.own = std::move(status);
-    now_state.own_heard = EventLoop::Now();
-    admission::NoteReport(now_state.places,
-                          {.epoch = now_state.own->epoch,
-                           .step = now_state.own->step,
-                           .running = now_state.own->running,
-                           .queued = now_state.own->queued,
-                           .pace = now_state.own->pace,
-                           .is_open = now_state.own->is_open},
-                          now_state.own_heard);
-    now_state.own->is_losing_orders =
-        this->orders.is_losing(now_state.own_heard);
-    if (now_state.own_held.sets.empty() ||
-        now_state.own_held.version != now_state.own->map) {
-      this->readings.ReadLists();
+    rank_state.own = std::move(status);
+    rank_state.own_received_at = EventLoop::Now();
+    admission::NoteReport(rank_state.rank_admission,
+                          {.epoch = rank_state.own->epoch,
+                           .step = rank_state.own->step,
+                           .running = rank_state.own->running,
+                           .queued = rank_state.own->queued,
+                           .pace = rank_state.own->pace,
+                           .is_open = rank_state.own->is_open},
+                          rank_state.own_received_at);
+    rank_state.own->is_losing_orders =
+        this->order_sender.has_lost_order(rank_state.own_received_at);
+    if (rank_state.own_held.sets.empty() ||
+        rank_state.own_held.version != rank_state.own->map) {
+      this->poller.PollLists();
     }
-    const auto& counted = now_state.last_counts;
+    const auto& counted = rank_state.last_counts;
     const bool is_new_pass = !counted ||
-                             counted->epoch != now_state.own->epoch ||
-                             counted->step < now_state.own->step;
-    if (is_new_pass && this->readings.is_counts_pass(now_state.own->step)) {
-      this->readings.ReadCounts();
+                             counted->epoch != rank_state.own->epoch ||
+                             counted->step < rank_state.own->step;
+    if (is_new_pass && this->poller.is_counts_pass(rank_state.own->step)) {
+      this->poller.PollCounts();
     }
-    if (is_news_for_gateways) {
-      this->teller.TellGateways();
+    if (is_gateway_update) {
+      this->update_sender.SendToGateways();
     }
-    this->teller.TellSuperior();
+    this->update_sender.SendUpdateIfDue();
     this->Act();
-    this->deputy.HandleOwnStatus(EventLoop::Now());
+    this->standby_owner.HandleOwnStatus(EventLoop::Now());
   }
 
   void Act() {
     const TimePoint now = EventLoop::Now();
     if (this->state.is_owner()) {
-      LeadMap(this->state, now);
-      this->wishes.Tell(now);
-      this->OrderSilentRanks(now);
+      ManageMap(this->state, now);
+      this->desired_map_sender.SendIfDue(now);
+      this->OrderUnresponsiveRanks(now);
     }
-    if (!this->state.wish) {
+    if (!this->state.desired_map) {
       return;
     }
     const auto order =
-        mapswitch::NextOrder(*this->state.wish, *this->state.own);
+        mapswitch::NextOrder(*this->state.desired_map, *this->state.own);
     if (order) {
-      this->orders.SendOwn(*order, now);
+      this->order_sender.SendOwn(*order, now);
     }
   }
 
-  void OrderSilentRanks(TimePoint now) {
+  void OrderUnresponsiveRanks(TimePoint now) {
     const mapswitch::MapSwitch& map_switch = this->state.map_switch;
     const bool is_held = map_switch.phase == mapswitch::SwitchPhase::kArming ||
                          map_switch.phase == mapswitch::SwitchPhase::kReleasing;
     if (is_held && now - map_switch.since > kLongHold) {
-      this->orders.OrderSilentRanks(now);
+      this->order_sender.OrderUnresponsiveRanks(now);
     }
   }
 
@@ -236,53 +239,55 @@
                      const membership::wire::MessageT& message) {
     const auto& body = message.body;
     if (const auto* probe = body.AsPlaceProbe()) {
-      this->Offer(from_ip, *probe);
+      this->SendOffer(from_ip, *probe);
     } else if (const auto* taken = body.AsPlaceTaken()) {
-      admission::TakenPlace place{.gateway = from_ip, .number = taken->number};
+      admission::TakenPlace reservation{.gateway = from_ip,
+                                        .number = taken->number};
       if (taken->is_settled) {
-        admission::NoteSettled(this->state.places, place);
+        admission::NoteSettled(this->state.rank_admission, reservation);
       } else {
-        admission::NoteTaken(this->state.places, std::move(place),
+        admission::NoteTaken(this->state.rank_admission, std::move(reservation),
                              EventLoop::Now());
       }
     } else if (const auto* heartbeat = body.AsHeartbeat()) {
       this->HandleHeartbeat(*heartbeat, from_ip);
-    } else if (const auto* news = body.AsRankNews()) {
-      if (!this->leader.HandleNews(from_ip, *news)) {
-        this->TakeNews(from_ip, *news);
+    } else if (const auto* update = body.AsRankNews()) {
+      if (!this->leader.HandleUpdate(from_ip, *update)) {
+        this->ApplyUpdate(from_ip, *update);
       }
     } else if (const auto* bundle = body.AsNewsBundle()) {
-      const bool has_jumped = HandleBundle(this->state, from_ip, *bundle);
-      this->ActAfterNews(has_jumped);
-    } else if (const auto* wish = body.AsMapWish()) {
-      this->teller.NoteSender(from_ip);
-      this->HandleWish(*wish);
+      const bool has_shifted = HandleBundle(this->state, from_ip, *bundle);
+      this->ActAfterUpdate(has_shifted);
+    } else if (const auto* desired_map = body.AsMapWish()) {
+      this->update_sender.RecordSender(from_ip);
+      this->HandleDesiredMap(*desired_map);
     }
   }
 
-  void HandleWish(const membership::wire::MapWishT& wish) {
+  void HandleDesiredMap(const membership::wire::MapWishT& desired_map) {
     const TimePoint now = EventLoop::Now();
-    const Taking taking = TakeWish(this->state, wish, now);
-    if (taking == Taking::kRefused) {
+    const DesiredMapResult result =
+        ApplyDesiredMap(this->state, desired_map, now);
+    if (result == DesiredMapResult::kRefused) {
       return;
     }
-    this->leader.PassWish(now);
-    if (taking == Taking::kNew) {
-      this->teller.TellSuperiorNow();
-      this->readings.ReadReport();
+    this->leader.ForwardDesiredMap(now);
+    if (result == DesiredMapResult::kNew) {
+      this->update_sender.SendUpdate();
+      this->poller.PollReport();
     }
   }
 
   void HandleHeartbeat(const membership::wire::HeartbeatT& heartbeat,
                        const std::string& from_ip) {
-    this->teller.NoteSender(from_ip);
+    this->update_sender.RecordSender(from_ip);
     for (const auto& place : heartbeat.ranks) {
       if (place == nullptr || !this->state.own ||
           place->group != this->state.own->group ||
           place->rank >= this->state.own->size) {
         continue;
       }
-      Superior& known = this->state.superiors[place->rank];
+      ParentAgent& known = this->state.parents[place->rank];
       if (place->epoch >= known.epoch) {
         known = {.epoch = place->epoch, .ip = place->ip};
       }
@@ -293,33 +298,33 @@
       }
     }
     if (heartbeat.is_asking) {
-      this->teller.TellOfOwnRank(from_ip);
+      this->update_sender.SendOwnRankTo(from_ip);
     }
   }
 
-  void TakeNews(const std::string& from_ip,
-                const membership::wire::RankNewsT& news) {
-    this->ActAfterNews(HandleRankNews(this->state, from_ip, news));
+  void ApplyUpdate(const std::string& from_ip,
+                   const membership::wire::RankNewsT& update) {
+    this->ActAfterUpdate(HandleRankUpdate(this->state, from_ip, update));
   }
 
-  void ActAfterNews(bool has_jumped) {
-    // A switch begins and goes on with the last rank's news, not with the next
-    // tick.
+  void ActAfterUpdate(bool has_shifted) {
+    // A switch starts and advances with the last rank's update, not with the
+    // next tick.
     const bool is_switching =
         this->state.map_switch.phase != mapswitch::SwitchPhase::kIdle;
-    if (this->state.is_owner() && (has_jumped || is_switching)) {
+    if (this->state.is_owner() && (has_shifted || is_switching)) {
       this->Act();
     }
   }
 
-  // Answers a gateway that looks for a place for a stream.
-  void Offer(const std::string& gateway_ip,
-             const membership::wire::PlaceProbeT& probe) {
+  // Answers a gateway that looks for a permit for a stream.
+  void SendOffer(const std::string& gateway_ip,
+                 const membership::wire::PlaceProbeT& probe) {
     const TimePoint now = EventLoop::Now();
     const admission::PlaceOffer offer =
-        admission::OfferOf(this->state.places, probe.is_late, now);
+        admission::OfferOf(this->state.rank_admission, probe.is_late, now);
     if (offer.is_admitting) {
-      admission::NoteOffered(this->state.places, now);
+      admission::NoteOffered(this->state.rank_admission, now);
     }
     membership::wire::PlaceOfferT wire;
     wire.number = probe.number;
@@ -339,17 +344,17 @@
     const auto found = this->state.members.known.find(member.name);
     const bool is_new = found == this->state.members.known.end() ||
                         found->second.member.incarnation != member.incarnation;
-    const bool is_learnt = membership::Learn(this->state.members, member,
+    const bool is_merged = membership::Learn(this->state.members, member,
                                              is_direct, EventLoop::Now());
-    // A gateway that has just started learns of this rank at once.
-    if (is_learnt && is_new && member.is_entry) {
-      this->teller.TellGateway(member.ip);
+    // A gateway that has just started is notified of this rank at once.
+    if (is_merged && is_new && member.is_entry) {
+      this->update_sender.SendToGateway(member.ip);
     }
   }
 
-  void HandlePlacesShape(const nlohmann::json& body) {
+  void HandleAdmissionSettings(const nlohmann::json& body) {
     const admission::RankPlacesSettings usual;
-    this->state.places.settings = {
+    this->state.rank_admission.settings = {
         .slots = body.value("slots", usual.slots),
         .longest_pause = std::chrono::microseconds(
             body.value("longest_pause_us", usual.longest_pause.count())),
@@ -357,11 +362,11 @@
             body.value("least_pass_us", usual.least_pass.count()))};
   }
 
-  void AskForShape() {
+  void RequestShape() {
     const bool is_known = this->state.shape.has_value();
     this->state.loop.RunAfter(is_known ? kShapeInterval : kFirstShapeInterval,
-                              [this] { this->AskForShape(); });
-    const std::set<std::string> ips = this->teller.GatewayIps();
+                              [this] { this->RequestShape(); });
+    const std::set<std::string> ips = this->update_sender.GatewayIps();
     if (ips.empty()) {
       return;
     }
@@ -372,7 +377,7 @@
         {.target = {*chosen, this->state.fleet().peer_port},
          .path = "/v1/engine?address=" + Format(*this->state.fleet().engine),
          .headers = {{"host", *chosen}},
-         .timeout = kFarCallTimeout},
+         .timeout = kRemoteCallTimeout},
         [this](CallEnd end, const http::Response& response) {
           const auto body =
               nlohmann::json::parse(response.body, nullptr, false);
@@ -387,7 +392,7 @@
               .spare = body.value("spare", 0U),
               .copy =
                   std::chrono::microseconds(body.value("copy_us", int64_t{0}))};
-          this->HandlePlacesShape(body);
+          this->HandleAdmissionSettings(body);
         });
   }
 
@@ -404,25 +409,26 @@
                       {"armed", own.armed},    {"prepared", own.prepared},
                       {"running", own.running}};
       dump["rank_age_ms"] =
-          (EventLoop::Now() - this->state.own_heard).count() / 1000;
+          (EventLoop::Now() - this->state.own_received_at).count() / 1000;
     }
-    for (const auto& [rank, superior] : this->state.superiors) {
-      dump["superiors"][std::to_string(rank)] = superior.ip;
+    for (const auto& [rank, parent] : this->state.parents) {
+      dump["superiors"][std::to_string(rank)] = parent.ip;
     }
-    dump["is_spoken_for"] = this->teller.is_spoken_for(EventLoop::Now());
+    dump["is_spoken_for"] =
+        this->update_sender.is_represented(EventLoop::Now());
     dump["switch"] = {
         {"phase", mapswitch::NameOf(this->state.map_switch.phase)},
-        {"version", this->state.map_switch.wish.version}};
+        {"version", this->state.map_switch.desired_map.version}};
     return dump;
   }
 
   RankState state;
-  RankReadings readings;
-  WishTeller wishes;
+  RankPoller poller;
+  DesiredMapSender desired_map_sender;
   Leader leader;
-  RankTeller teller;
-  Orders orders;
-  Deputy deputy;
+  RankUpdateSender update_sender;
+  OrderSender order_sender;
+  StandbyOwner standby_owner;
   std::unique_ptr<http::Ingress> metrics;
   std::unique_ptr<http::Ingress> internal;
   uint64_t ticks = 0;
--- a/Services/bramleyspand/Rank/RankState.h
+++ b/Services/bramleyspand/Rank/RankState.h
@@ -1,4 +1,4 @@
-// What the parts of a rank's agent share.
+// State that the parts of a rank's agent share.
 #pragma once
 
 #include <cstdint>
@@ -21,25 +21,26 @@
 
 namespace bramleyspan::rankd {
 
-// The shape of an engine's expert maps, as a gateway tells it from the desired
+// The shape of an engine's expert maps, which a gateway reads from the desired
 // state.
 struct MapShape {
   uint32_t sets = 0;
   uint32_t experts = 0;
   uint32_t places_per_rank = 0;
   uint32_t spare = 0;
-  // What copying an expert takes.
+  // Time to copy one expert.
   Duration copy{};
 };
 
-// Set by set, the experts that a rank holds under a map.
+// The experts that a rank holds under a map, by set.
 struct HeldExperts {
   mapswitch::Version version = 0;
   std::vector<std::vector<uint16_t>> sets;
 };
 
-// A whole map that is or was in force, which the next one is told against.
-struct HeldMap {
+// A complete map that is or was in force, the base against which the next one
+// is encoded.
+struct VersionedMap {
   uint64_t epoch = 0;
   mapswitch::Version version = 0;
   mapswitch::ExpertLists map;
@@ -48,29 +49,31 @@
 // What the owner of the group's map, or a leader, knows of a rank besides its
 // status.
 struct RankInfo {
-  // Where its news came from: its agent or the leader above it.
+  // Sender of the last update: the rank's agent or the leader that represents
+  // it.
   std::string ip;
   Address server;
   uint64_t epoch = 0;
   HeldExperts held;
-  // The versions of the wish whose map its agent has and was last told, and
-  // when.
-  uint64_t wish_version = 0;
-  uint64_t told_version = 0;
-  TimePoint map_told;
-  // The whole map that its agent has.
+  // The desired version whose complete map the agent has.
+  uint64_t received_version = 0;
+  // The version whose map was last sent to it, and when.
+  uint64_t sent_version = 0;
+  TimePoint map_sent_at;
+  // The complete map in force that the agent has, to decode changes against.
   uint64_t base_version = 0;
 };
 
-// The agent of a rank above this one, as gateways tell of it.
-struct Superior {
+// The agent of a rank further up in the tree, as gateways report it.
+struct ParentAgent {
   uint64_t epoch = 0;
   std::string ip;
 };
 
-// A plan that was not worth a switch. The next one is made when something has
-// changed: it takes the most time of all that an agent does.
-struct FruitlessPlan {
+// A plan that was not worth a switch. Planning takes more time than anything
+// else that an agent does, so the next plan is made only once something has
+// changed.
+struct RejectedPlan {
   mapswitch::Version map = 0;
   uint64_t jumps = 0;
   double skew = 0;
@@ -89,41 +92,40 @@
   membership::Members members;
   uint64_t incarnation = 0;
 
-  // The rank beside this agent.
+  // The last status of the rank beside this agent.
   std::optional<mapswitch::RankStatus> own;
-  TimePoint own_heard;
+  TimePoint own_received_at;
   HeldExperts own_held;
   std::optional<mapswitch::ExpertCounts> last_counts;
-  // Choices read and not told yet.
+  // Expert counts that were read and not sent yet.
   std::vector<uint32_t> new_counts;
-  std::optional<mapswitch::Wish> wish;
-  HeldMap map_in_force;
+  std::optional<mapswitch::DesiredMap> desired_map;
+  VersionedMap map_in_force;
   // By rank, in the own group.
-  std::map<uint32_t, Superior> superiors;
-  // When the leader above was last heard.
-  TimePoint leader_heard;
-  admission::RankPlaces places;
-  // The servers of all ranks, as the owner told them, and when it last did.
+  std::map<uint32_t, ParentAgent> parents;
+  // When the last message of this rank's leader was received.
+  TimePoint leader_last_received;
+  admission::RankPlaces rank_admission;
+  // The model servers of all ranks, as the owner last sent them.
   std::vector<Address> group_servers;
-  // As a leader passes them on.
-  std::vector<std::string> servers_heard;
-  TimePoint owner_heard;
+  // The same addresses, for a leader to forward.
+  std::vector<std::string> servers_to_forward;
+  TimePoint owner_last_received;
 
-  // Kept by the owner only, the agent beside rank 0.
+  // Used by the owner only, the agent beside rank 0.
   mapswitch::MapSwitch map_switch;
   std::map<uint32_t, RankInfo> ranks;
   placement::Drift drift;
-  // The skew that the switch under way was planned to.
+  // The skew that the switch in progress is planned to reach.
   double planned_skew = 1;
-  // Jumps of demand that were seen when it was planned.
-  uint64_t planned_at_jump = 0;
-  // What the last plan that was not worth a switch would have gained.
-  std::optional<FruitlessPlan> fruitless;
-  // What the ranks chose in the newest pass.
+  // Number of demand shifts that had been seen when it was planned.
+  uint64_t planned_at_shift = 0;
+  // The last plan that was not worth a switch.
+  std::optional<RejectedPlan> rejected_plan;
+  // The experts that the ranks' requests selected in the newest pass.
   placement::PassChoices choices;
   std::optional<MapShape> shape;
-  // When the group's load was last logged.
-  TimePoint group_logged;
+  TimePoint group_logged_at;
 
   const FleetSettings& fleet() const { return *this->settings.fleet; }
   bool is_owner() const { return this->own && this->own->rank == 0; }
@@ -131,9 +133,9 @@
     return {.size = this->own ? this->own->size : 0,
             .fan_out = this->fleet().group_fan_out};
   }
-  std::string FindSuperior(uint32_t rank) const {
-    const auto found = this->superiors.find(rank);
-    return found == this->superiors.end() ? "" : found->second.ip;
+  std::string FindParentIp(uint32_t rank) const {
+    const auto found = this->parents.find(rank);
+    return found == this->parents.end() ? "" : found->second.ip;
   }
 };
 
--- a/Services/bramleyspand/Rank/StandbyOwner.cc
+++ b/Services/bramleyspand/Rank/StandbyOwner.cc
@@ -9,32 +9,34 @@
 using telemetry::Log;
 using telemetry::LogLevel;
 
-// A group that begins no pass for so long is held, or a rank of it is gone.
-constexpr Duration kStuck = std::chrono::milliseconds(250);
-// Ranks step in one after the other, so that one deputy is usually enough.
-constexpr Duration kPerRank = std::chrono::milliseconds(60);
-constexpr Duration kOwnerSilent = std::chrono::milliseconds(200);
+// A group that begins no pass for so long is held, or one of its ranks has
+// failed.
+constexpr Duration kStalledAfter = std::chrono::milliseconds(250);
+// Agents take over one after the other in the order of their ranks, so that
+// usually only one does.
+constexpr Duration kDelayPerRank = std::chrono::milliseconds(60);
+constexpr Duration kOwnerUnresponsiveAfter = std::chrono::milliseconds(200);
 constexpr Duration kRoundInterval = std::chrono::milliseconds(120);
-constexpr Duration kFarTimeout = std::chrono::milliseconds(250);
+constexpr Duration kRemoteTimeout = std::chrono::milliseconds(250);
 
 }  // namespace
 
-bool Deputy::is_needed(TimePoint now) {
+bool StandbyOwner::is_needed(TimePoint now) {
   const mapswitch::RankStatus& own = *this->state.own;
   if (own.step != this->last_step || own.running == 0) {
     this->last_step = own.step;
     this->step_changed = now;
     return false;
   }
-  const Duration patience = kStuck + kPerRank * own.rank;
+  const Duration takeover_delay = kStalledAfter + kDelayPerRank * own.rank;
   return own.rank != 0 && own.is_open &&
          this->state.group_servers.size() == own.size &&
          (own.armed != 0 || own.prepared > own.map) &&
-         now - this->step_changed > patience &&
-         now - this->state.owner_heard > kOwnerSilent;
+         now - this->step_changed > takeover_delay &&
+         now - this->state.owner_last_received > kOwnerUnresponsiveAfter;
 }
 
-void Deputy::HandleOwnStatus(TimePoint now) {
+void StandbyOwner::HandleOwnStatus(TimePoint now) {
   if (!this->is_needed(now)) {
     this->map_switch = {};
     return;
@@ -43,22 +45,22 @@
     return;
   }
   this->last_round = now;
-  this->map_switch.is_deputy = true;
+  this->map_switch.is_standby = true;
   Log(LogLevel::kWarning, "map", "stands_in_for_owner",
       {{"step", std::to_string(this->state.own->step)},
        {"armed", std::to_string(this->state.own->armed)},
        {"prepared", std::to_string(this->state.own->prepared)}});
-  this->ReadAllRanks();
+  this->PollAllRanks();
 }
 
-void Deputy::ReadAllRanks() {
+void StandbyOwner::PollAllRanks() {
   for (const Address& server : this->state.group_servers) {
     http::DirectCall::Fetch(
         this->state.loop,
         {.target = server,
          .path = this->state.adapter.report_path,
          .headers = {{"host", Format(server)}},
-         .timeout = kFarTimeout},
+         .timeout = kRemoteTimeout},
         [this, server](http::CallEnd end, const http::Response& response) {
           if (end == http::CallEnd::kWhole && response.status == 200) {
             this->HandleReport(server, response.body);
@@ -67,17 +69,19 @@
   }
 }
 
-void Deputy::HandleReport(const Address& server, const std::string& body) {
+void StandbyOwner::HandleReport(const Address& server,
+                                const std::string& body) {
   const auto status = this->state.adapter.parse_report(body);
-  if (status.has_error() || !this->map_switch.is_deputy ||
+  if (status.has_error() || !this->map_switch.is_standby ||
       status.value().group != this->state.own->group) {
     return;
   }
   const TimePoint now = EventLoop::Now();
   mapswitch::HandleStatus(this->map_switch, status.value(), now);
-  if (this->state.wish && this->state.wish->epoch == this->state.own->epoch) {
-    mapswitch::TrustOwner(this->map_switch, *this->state.wish,
-                          this->state.own->size, now);
+  if (this->state.desired_map &&
+      this->state.desired_map->epoch == this->state.own->epoch) {
+    mapswitch::InferOwnerArmed(this->map_switch, *this->state.desired_map,
+                               this->state.own->size, now);
   }
   mapswitch::Continue(this->map_switch, now);
   if (this->map_switch.phase != mapswitch::SwitchPhase::kArming &&
@@ -85,7 +89,7 @@
     return;
   }
   const auto order =
-      mapswitch::NextOrder(this->map_switch.wish, status.value());
+      mapswitch::NextOrder(this->map_switch.desired_map, status.value());
   if (order) {
     this->send_order(server, *order);
   }
--- a/Services/bramleyspand/Rank/StandbyOwner.h
+++ b/Services/bramleyspand/Rank/StandbyOwner.h
@@ -1,10 +1,10 @@
-// What an agent does when the owner of its group's map falls silent in the
-// middle of a switch.
+// Completes a switch whose owner became unresponsive.
 //
 // Failure: the owner is killed, frozen or cut off between its hold and its go;
-// it shows as a group that has requests and begins no pass. The deputy reads
-// all ranks from afar, arms those that are not armed for the held pass and lets
-// go. That is safe beside an owner that wakes up: both give the same orders.
+// the group has requests and begins no pass. The standby owner polls all ranks
+// remotely, arms those that are not armed for the held pass and releases the
+// group. That is safe even if the owner recovers, since both send the same
+// orders.
 #pragma once
 
 #include <functional>
@@ -14,20 +14,20 @@
 
 namespace bramleyspan::rankd {
 
-class Deputy {
+class StandbyOwner {
  public:
   using SendOrder =
       std::function<void(const Address& server, const mapswitch::Order& order)>;
 
-  Deputy(RankState& state, SendOrder send_order)
+  StandbyOwner(RankState& state, SendOrder send_order)
       : state(state), send_order(std::move(send_order)) {}
 
-  // Takes the own rank's newest report.
+  // Handles the own rank's newest report.
   void HandleOwnStatus(TimePoint now);
 
  private:
   bool is_needed(TimePoint now);
-  void ReadAllRanks();
+  void PollAllRanks();
   void HandleReport(const Address& server, const std::string& body);
 
   RankState& state;
--- a/Specs/MapSwitch.pml
+++ b/Specs/MapSwitch.pml
@@ -73,7 +73,7 @@
   byte held
 };
 
-typedef Wish {
+typedef DesiredMap {
   byte version;
   byte hold_step;
   byte holder;
@@ -90,7 +90,7 @@
 
 typedef MapSwitch {
   byte phase;
-  Wish wish;
+  DesiredMap wish;
   RankStatus heard[RANKS];
   bool is_heard[RANKS];
   byte heard_step
@@ -98,9 +98,9 @@
 
 byte step = 0;            // the last pass begun
 RankStatus ranks[RANKS];
-Wish wishes[RANKS];       // what each agent last heard
+DesiredMap wishes[RANKS];       // what each agent last heard
 Order late[LATE];
-Wish told;                // the wish that an agent acts on just now
+DesiredMap told;                // the wish that an agent acts on just now
 MapSwitch owner;
 MapSwitch deputy;
 byte restarts = 0;
--- a/Tests/LibMapSwitch/SimulatedRanks.cc
+++ b/Tests/LibMapSwitch/SimulatedRanks.cc
@@ -68,26 +68,26 @@
 }
 
 bool SimulatedRanks::Send(uint32_t rank, const Order& order) {
-  if (static_cast<int>(this->random() % 100) < this->late_orders) {
+  if (static_cast<int>(this->random() % 100) < this->late_order_percent) {
     const auto delay = std::chrono::milliseconds(50 + this->random() % 4000);
-    this->late.push_back({this->now + delay, rank, order});
+    this->delayed.push_back({this->now + delay, rank, order});
     return false;
   }
   const bool is_done = this->Execute(rank, order);
   const bool is_answer_lost =
-      static_cast<int>(this->random() % 100) < this->late_orders;
+      static_cast<int>(this->random() % 100) < this->late_order_percent;
   return is_done && !is_answer_lost;
 }
 
 void SimulatedRanks::Advance(Duration step_time) {
   this->now += step_time;
-  const auto late_now = this->late;
-  this->late.clear();
-  for (const LateOrder& order : late_now) {
+  const auto all_delayed = this->delayed;
+  this->delayed.clear();
+  for (const DelayedOrder& order : all_delayed) {
     if (order.at <= this->now) {
       this->Execute(order.rank, order.order);
     } else {
-      this->late.push_back(order);
+      this->delayed.push_back(order);
     }
   }
   for (uint32_t rank = 0; rank < this->size(); ++rank) {
--- a/Tests/LibMapSwitch/SimulatedRanks.h
+++ b/Tests/LibMapSwitch/SimulatedRanks.h
@@ -1,5 +1,5 @@
-// A group of ranks as the platform's pages describe them, with a network that
-// loses orders' answers and carries orders out late.
+// A simulated group of ranks that behave as the platform's documentation says,
+// with a network that loses the answers to orders and delays orders.
 #pragma once
 
 #include <cstdint>
@@ -17,17 +17,18 @@
  public:
   explicit SimulatedRanks(uint32_t size, uint64_t seed);
 
-  // Carries an order out now. False stands for a refusal.
+  // Carries an order out now. Returns false if the rank refuses it.
   bool Execute(uint32_t rank, const Order& order);
 
-  // Sends an order: it may be done at once, done with its answer lost, or done
-  // late. True if an answer says that it was accepted.
+  // Sends an order, which may be carried out at once, carried out with its
+  // answer lost, or carried out late. Returns true if an answer says that it
+  // was accepted.
   bool Send(uint32_t rank, const Order& order);
 
-  // Time passes: late orders arrive, copies end, passes begin.
+  // Advances the clock: delayed orders arrive, copies end, passes begin.
   void Advance(Duration step);
 
-  // A rank restarts: the group is formed anew.
+  // Restarts a rank, so that the group is re-formed.
   void Restart(uint32_t rank);
 
   const RankStatus& status(uint32_t rank) const { return this->ranks[rank]; }
@@ -38,17 +39,16 @@
   bool is_split = false;
   Step step = 0;
   TimePoint now{std::chrono::seconds(1000)};
-  // Out of 100 orders.
-  int late_orders = 0;
+  int late_order_percent = 0;
   bool has_work = true;
   // Some servers count only orders of other kinds, so that an expected sequence
-  // refuses nothing.
+  // never causes a refusal.
   bool has_sequences = true;
   // Whether a second hold replaces the first or is refused.
   bool is_hold_replaced = false;
 
  private:
-  struct LateOrder {
+  struct DelayedOrder {
     TimePoint at;
     uint32_t rank;
     Order order;
@@ -58,11 +58,11 @@
   std::mt19937_64 random;
   std::vector<RankStatus> ranks;
   std::vector<Version> newest;
-  // By rank: what a map of a version holds, as it was ordered there.
+  // By rank and version: the map as it was ordered there.
   std::vector<std::map<Version, ExpertLists>> contents;
   std::vector<TimePoint> copied_at;
   std::vector<Version> copying;
-  std::deque<LateOrder> late;
+  std::deque<DelayedOrder> delayed;
   TimePoint pass_due;
 };
 
--- a/Tests/LibMapSwitch/TestSentUpdate.cc
+++ b/Tests/LibMapSwitch/TestSentUpdate.cc
@@ -23,25 +23,27 @@
 
 }  // namespace
 
-// Story: every stream of a group stood still until the day ended. All agents
-// had been killed between the last arm and the go; their successors told the
-// owner once, before it listened, and a group that is held has no news.
-TEST_CASE("A status that does not change is said again") {
-  const Telling telling{.told = Held(), .told_at = kStart};
-  CHECK_FALSE(
-      is_due(telling, Held(), false, kStart + std::chrono::milliseconds(30)));
-  CHECK(is_due(telling, Held(), false, kStart + std::chrono::milliseconds(90)));
+// Failure: a group stood still after all agents had been killed between the
+// last arm and the go. Their successors sent the owner one update, before it
+// listened, and the status of a held group does not change.
+TEST_CASE("An unchanged status is sent again") {
+  const SentUpdate last_update{.sent_status = Held(), .sent_at = kStart};
+  CHECK_FALSE(is_update_due(last_update, Held(), false,
+                            kStart + std::chrono::milliseconds(30)));
+  CHECK(is_update_due(last_update, Held(), false,
+                      kStart + std::chrono::milliseconds(90)));
 }
 
-TEST_CASE("What matters to a switch is said at once, a mere pass is not") {
-  const Telling telling{.told = Held(), .told_at = kStart};
+TEST_CASE(
+    "A change that matters to a switch is sent at once, a new pass is not") {
+  const SentUpdate last_update{.sent_status = Held(), .sent_at = kStart};
   RankStatus status = Held();
   status.step = 621;
   status.running = 6;
-  CHECK_FALSE(is_due(telling, status, false, kStart));
-  CHECK(is_due(telling, status, true, kStart));
+  CHECK_FALSE(is_update_due(last_update, status, false, kStart));
+  CHECK(is_update_due(last_update, status, true, kStart));
   status.armed_step = 630;
-  CHECK(is_due(telling, status, false, kStart));
+  CHECK(is_update_due(last_update, status, false, kStart));
 }
 
 }  // namespace bramleyspan::mapswitch
--- a/Tests/LibMapSwitch/TestSwitch.cc
+++ b/Tests/LibMapSwitch/TestSwitch.cc
@@ -11,7 +11,8 @@
 constexpr Duration kTick = std::chrono::milliseconds(50);
 constexpr uint32_t kRanks = 4;
 
-// Servers differ in what the pages leave open.
+// Sets what the platform's documentation leaves open and servers do
+// differently.
 void SetVariant(SimulatedRanks& ranks, uint64_t seed) {
   ranks.has_sequences = seed % 3 == 0;
   ranks.is_hold_replaced = seed % 2 == 0;
@@ -26,7 +27,7 @@
   return false;
 }
 
-// Whether the group is kept from its next pass.
+// Whether the next pass is held.
 bool is_waiting(const SimulatedRanks& ranks) {
   for (uint32_t rank = 0; rank < ranks.size(); ++rank) {
     if (ranks.status(rank).held == ranks.step + 1) {
@@ -36,17 +37,16 @@
   return false;
 }
 
-// What agents do with the library, on the simulated ranks: rank 0's leads,
-// each one follows the wish that it last heard.
+// The agents of the simulated ranks, as they use the library: rank 0's is the
+// owner, and each one follows the desired map that it last received.
 struct Agents {
   SimulatedRanks& ranks;
   MapSwitch owner;
-  std::vector<std::optional<Wish>> wishes =
-      std::vector<std::optional<Wish>>(kRanks);
-  // While frozen the owner says and does nothing.
+  std::vector<std::optional<DesiredMap>> desired_maps =
+      std::vector<std::optional<DesiredMap>>(kRanks);
+  // Until then the owner sends and does nothing.
   TimePoint owner_frozen_until{};
-  // Messages that are lost, out of 100.
-  int lost_messages = 0;
+  int lost_message_percent = 0;
   std::mt19937_64 random;
   int switches = 0;
   std::map<uint32_t, std::pair<std::string, TimePoint>> last_orders;
@@ -55,7 +55,7 @@
       : ranks(ranks), random(seed) {}
 
   bool is_lost() {
-    return static_cast<int>(this->random() % 100) < this->lost_messages;
+    return static_cast<int>(this->random() % 100) < this->lost_message_percent;
   }
 
   void SendOnce(uint32_t rank, const Order& order) {
@@ -83,25 +83,25 @@
       }
     }
     if (!is_frozen) {
-      this->Lead(now);
+      this->RunOwner(now);
     }
     for (uint32_t rank = 0; rank < kRanks; ++rank) {
-      if (!this->wishes[rank] || (rank == 0 && is_frozen)) {
+      if (!this->desired_maps[rank] || (rank == 0 && is_frozen)) {
         continue;
       }
       const auto order =
-          NextOrder(*this->wishes[rank], this->ranks.status(rank));
+          NextOrder(*this->desired_maps[rank], this->ranks.status(rank));
       if (order) {
         this->SendOnce(rank, *order);
       }
     }
   }
 
-  void Lead(TimePoint now) {
+  void RunOwner(TimePoint now) {
     Continue(this->owner, now);
     if (is_ready_for_map(this->owner, now) || needs_switch(this->owner, now)) {
       ++this->switches;
-      // Each plan is another map.
+      // Each plan is a different map.
       const auto plan = static_cast<uint16_t>(this->switches);
       StartSwitch(this->owner, ExpertLists(1, {{0}, {1}, {2}, {plan}}), now);
     }
@@ -110,27 +110,28 @@
     }
     for (uint32_t rank = 0; rank < kRanks; ++rank) {
       if (rank == 0 || !this->is_lost()) {
-        this->wishes[rank] = WishFor(this->owner, rank);
+        this->desired_maps[rank] = DesiredMapFor(this->owner, rank);
       }
     }
   }
 
-  // The owner's process dies and another starts beside the same rank.
+  // The owner's process dies and another one starts beside the same rank.
   void RestartOwner() {
     this->owner = {.version_offset = DrawVersionOffset(this->random())};
-    this->wishes[0].reset();
+    this->desired_maps[0].reset();
     this->last_orders.erase(0);
   }
 
-  // Another rank's agent reads all ranks and finishes what was begun.
-  void StandIn(MapSwitch& deputy) {
-    deputy.is_deputy = true;
+  // The agent of another rank polls all ranks and completes the switch.
+  void TakeOver(MapSwitch& standby) {
+    standby.is_standby = true;
     for (uint32_t rank = 0; rank < kRanks; ++rank) {
-      HandleStatus(deputy, this->ranks.status(rank), this->ranks.now);
-      Continue(deputy, this->ranks.now);
-      const bool may_order = deputy.phase == SwitchPhase::kArming ||
-                             deputy.phase == SwitchPhase::kReleasing;
-      const auto order = NextOrder(deputy.wish, this->ranks.status(rank));
+      HandleStatus(standby, this->ranks.status(rank), this->ranks.now);
+      Continue(standby, this->ranks.now);
+      const bool may_order = standby.phase == SwitchPhase::kArming ||
+                             standby.phase == SwitchPhase::kReleasing;
+      const auto order =
+          NextOrder(standby.desired_map, this->ranks.status(rank));
       if (may_order && order) {
         this->ranks.Send(rank, *order);
       }
@@ -145,17 +146,17 @@
   }
 };
 
-// Plays a case with many seeds, each in a variant of its own of what the pages
-// leave open, with so many of a hundred orders carried out late.
-template <typename Play>
-void WithSeeds(uint64_t seeds, int late_orders, Play play) {
+// Runs a scenario with many seeds, in one of the variants of what the
+// platform's documentation leaves open, with this percentage of orders delayed.
+template <typename Scenario>
+void RunWithSeeds(uint64_t seeds, int late_order_percent, Scenario scenario) {
   for (uint64_t seed = 0; seed < seeds; ++seed) {
     CAPTURE(seed);
     SimulatedRanks ranks(kRanks, seed);
     SetVariant(ranks, seed);
-    ranks.late_orders = late_orders;
+    ranks.late_order_percent = late_order_percent;
     Agents agents(ranks, seed + 1);
-    play(ranks, agents, seed);
+    scenario(ranks, agents, seed);
   }
 }
 
@@ -169,52 +170,54 @@
   CHECK(ranks.status(0).map >= 2);
 }
 
-// Story: a stream broke off since its group went on with two maps. An order to
-// arm was carried out seconds late, after the switch it belonged to.
-TEST_CASE("Orders that are late or unanswered never split a group") {
-  WithSeeds(200, 25,
-            [](SimulatedRanks& ranks, Agents& agents, uint64_t /*seed*/) {
-              agents.lost_messages = 20;
-              agents.Run(std::chrono::seconds(15));
-              REQUIRE_FALSE(ranks.is_split);
-            });
+// Failure: an arm order was carried out seconds late, after the switch that it
+// belonged to, and the group went on with two maps.
+TEST_CASE("Delayed or unanswered orders never make ranks use different maps") {
+  RunWithSeeds(200, 25,
+               [](SimulatedRanks& ranks, Agents& agents, uint64_t /*seed*/) {
+                 agents.lost_message_percent = 20;
+                 agents.Run(std::chrono::seconds(15));
+                 REQUIRE_FALSE(ranks.is_split);
+               });
 }
 
-// Story: the owner's agent was killed after each of its orders in turn; the
-// next one must finish what it finds, with late orders of the dead one about.
-TEST_CASE("An owner that restarts at any moment finishes and never splits") {
-  WithSeeds(200, 20,
-            [](SimulatedRanks& ranks, Agents& agents, uint64_t /*seed*/) {
-              for (int kill = 0; kill < 20; ++kill) {
-                agents.Run(std::chrono::milliseconds(
-                    50 + ranks.now.time_since_epoch().count() / 50 % 17 * 50));
-                agents.RestartOwner();
-              }
-              REQUIRE_FALSE(ranks.is_split);
-              // Nothing that was begun keeps the group from going on.
-              ranks.late_orders = 0;
-              const Step before = ranks.step;
-              agents.Run(std::chrono::seconds(12));
-              REQUIRE(ranks.step > before + 20);
-            });
+// Failure: the owner's agent is killed after any of its orders. The next one
+// must complete the switch it finds while delayed orders of the first one still
+// arrive.
+TEST_CASE("A restarted owner completes the switch with one map at all ranks") {
+  RunWithSeeds(
+      200, 20, [](SimulatedRanks& ranks, Agents& agents, uint64_t /*seed*/) {
+        for (int restart = 0; restart < 20; ++restart) {
+          agents.Run(std::chrono::milliseconds(
+              50 + ranks.now.time_since_epoch().count() / 50 % 17 * 50));
+          agents.RestartOwner();
+        }
+        REQUIRE_FALSE(ranks.is_split);
+        // No unfinished switch keeps the group from going on.
+        ranks.late_order_percent = 0;
+        const Step before = ranks.step;
+        agents.Run(std::chrono::seconds(12));
+        REQUIRE(ranks.step > before + 20);
+      });
 }
 
-// Story: an idle group makes no passes, so that a hold and an arm that are
-// late may meet it long after the switch.
-TEST_CASE("A group that falls idle in the middle of a switch is not split") {
-  WithSeeds(200, 25,
-            [](SimulatedRanks& ranks, Agents& agents, uint64_t /*seed*/) {
-              for (int turn = 0; turn < 10; ++turn) {
-                ranks.has_work = turn % 2 == 0;
-                agents.Run(std::chrono::milliseconds(700));
-              }
-              REQUIRE_FALSE(ranks.is_split);
-            });
+// Failure: an idle group begins no passes, so that a delayed hold or arm may
+// reach it long after the switch.
+TEST_CASE(
+    "A group that becomes idle during a switch keeps one map at all ranks") {
+  RunWithSeeds(200, 25,
+               [](SimulatedRanks& ranks, Agents& agents, uint64_t /*seed*/) {
+                 for (int round = 0; round < 10; ++round) {
+                   ranks.has_work = round % 2 == 0;
+                   agents.Run(std::chrono::milliseconds(700));
+                 }
+                 REQUIRE_FALSE(ranks.is_split);
+               });
 }
 
-// Story: the machine of the agent that had just held the group was frozen for
-// four seconds, and every stream of the group with it.
-TEST_CASE("A deputy lets a held group go on while its owner is frozen") {
+// Failure: the owner's machine froze for four seconds just after its hold, and
+// every stream of the group stalled.
+TEST_CASE("A standby owner releases a held group while its owner is frozen") {
   SimulatedRanks ranks(kRanks, 1);
   Agents agents(ranks, 1);
   while (!is_any_held(ranks)) {
@@ -222,51 +225,53 @@
   }
   const Step held_before = ranks.step;
   agents.owner_frozen_until = ranks.now + std::chrono::seconds(4);
-  MapSwitch deputy;
+  MapSwitch standby;
   for (int round = 0; round < 10; ++round) {
     agents.Run(kTick);
-    agents.StandIn(deputy);
+    agents.TakeOver(standby);
   }
   CHECK(ranks.step > held_before + 2);
   CHECK_FALSE(ranks.is_split);
 }
 
-TEST_CASE("A deputy beside an owner that is alive or wakes never splits") {
-  WithSeeds(300, 20, [](SimulatedRanks& ranks, Agents& agents, uint64_t seed) {
-    agents.lost_messages = 20;
-    MapSwitch deputy;
-    std::mt19937_64 random(seed);
-    for (int turn = 0; turn < 150; ++turn) {
-      if (random() % 20 == 0) {
-        agents.owner_frozen_until =
-            ranks.now + std::chrono::milliseconds(random() % 2000);
-      }
-      if (random() % 4 == 0) {
-        agents.StandIn(deputy);
-      }
-      if (random() % 30 == 0) {
-        deputy = {};
-      }
-      if (random() % 40 == 0) {
-        agents.RestartOwner();
-      }
-      if (random() % 60 == 0) {
-        ranks.Restart(static_cast<uint32_t>(random() % kRanks));
-      }
-      agents.Run(kTick);
-    }
-    REQUIRE_FALSE(ranks.is_split);
-  });
+TEST_CASE("A standby owner beside a live owner keeps one map at all ranks") {
+  RunWithSeeds(300, 20,
+               [](SimulatedRanks& ranks, Agents& agents, uint64_t seed) {
+                 agents.lost_message_percent = 20;
+                 MapSwitch standby;
+                 std::mt19937_64 random(seed);
+                 for (int round = 0; round < 150; ++round) {
+                   if (random() % 20 == 0) {
+                     agents.owner_frozen_until =
+                         ranks.now + std::chrono::milliseconds(random() % 2000);
+                   }
+                   if (random() % 4 == 0) {
+                     agents.TakeOver(standby);
+                   }
+                   if (random() % 30 == 0) {
+                     standby = {};
+                   }
+                   if (random() % 40 == 0) {
+                     agents.RestartOwner();
+                   }
+                   if (random() % 60 == 0) {
+                     ranks.Restart(static_cast<uint32_t>(random() % kRanks));
+                   }
+                   agents.Run(kTick);
+                 }
+                 REQUIRE_FALSE(ranks.is_split);
+               });
 }
 
-// Story: an owner was killed right after its hold. Its successor named the pass
-// to all agents at once, was killed as well, and a deputy that could not reach
-// rank 0 took it for armed: the group went on with two maps. Specs/MapSwitch
-// found it (variant RESUME_TELLING).
+// Failure: an owner was killed right after its hold. Its successor sent the
+// held pass to all agents before its own rank was armed and was killed too; a
+// standby owner that could not reach rank 0 assumed that it was armed, and the
+// group went on with two maps. Found by Specs/MapSwitch (variant
+// RESUME_TELLING).
 TEST_CASE("An owner that finds a held group arms its own rank first") {
   const TimePoint now{std::chrono::seconds(100)};
   MapSwitch owner;
-  const auto hear = [&](Version armed) {
+  const auto receive = [&](Version armed) {
     for (uint32_t rank = 0; rank < 3; ++rank) {
       HandleStatus(owner,
                    {.group = "g",
@@ -283,21 +288,23 @@
     }
     Continue(owner, now);
   };
-  hear(0);
-  CHECK(WishFor(owner, 0).arm_step == 6);
-  CHECK(WishFor(owner, 1).arm_step == 0);
-  hear(1);
-  CHECK(WishFor(owner, 1).arm_step == 6);
+  receive(0);
+  CHECK(DesiredMapFor(owner, 0).arm_step == 6);
+  CHECK(DesiredMapFor(owner, 1).arm_step == 0);
+  receive(1);
+  CHECK(DesiredMapFor(owner, 1).arm_step == 6);
 }
 
-TEST_CASE("A deputy trusts an owner that named the pass, and only then") {
+TEST_CASE(
+    "A standby owner assumes rank 0 is armed only if the owner named the "
+    "pass") {
   const TimePoint now{std::chrono::seconds(100)};
-  const auto stand_in = [&](const Wish& heard) {
-    MapSwitch deputy;
-    deputy.is_deputy = true;
-    TrustOwner(deputy, heard, 3, now);
+  const auto take_over = [&](const DesiredMap& last_received) {
+    MapSwitch standby;
+    standby.is_standby = true;
+    InferOwnerArmed(standby, last_received, 3, now);
     for (uint32_t rank = 1; rank < 3; ++rank) {
-      HandleStatus(deputy,
+      HandleStatus(standby,
                    {.group = "g",
                     .epoch = 1,
                     .rank = rank,
@@ -310,39 +317,40 @@
                     .held = rank == 1 ? Step{6} : Step{0}},
                    now);
     }
-    Continue(deputy, now);
-    Continue(deputy, now);
-    return deputy.wish.is_released;
+    Continue(standby, now);
+    Continue(standby, now);
+    return standby.desired_map.is_released;
   };
-  Wish heard{.epoch = 1, .version = 1, .hold_step = 6, .holder = 1};
-  CHECK_FALSE(stand_in(heard));
-  heard.arm_step = 6;
-  CHECK(stand_in(heard));
+  DesiredMap last_received{
+      .epoch = 1, .version = 1, .hold_step = 6, .holder = 1};
+  CHECK_FALSE(take_over(last_received));
+  last_received.arm_step = 6;
+  CHECK(take_over(last_received));
 }
 
-// Story: half of the orders got lost for a while. Each switch kept its group
-// waiting for half a second, one after the other, and no stream was on time.
-TEST_CASE("A group rests from switches after one that took its time") {
+// Failure: while half of the orders were lost, each switch kept its group
+// waiting for half a second, one after the other, and every stream was late.
+TEST_CASE("A slow switch is followed by a cooldown") {
   SimulatedRanks ranks(kRanks, 3);
-  ranks.late_orders = 60;
+  ranks.late_order_percent = 60;
   Agents agents(ranks, 3);
-  int held = 0;
+  int waiting_ticks = 0;
   constexpr int kTicks = 600;
   for (int tick = 0; tick < kTicks; ++tick) {
     agents.Run(kTick);
-    held += is_waiting(ranks) ? 1 : 0;
+    waiting_ticks += is_waiting(ranks) ? 1 : 0;
   }
-  CHECK(held < kTicks / 8);
+  CHECK(waiting_ticks < kTicks / 8);
   CHECK_FALSE(ranks.is_split);
 }
 
-// Story: half of the orders got lost, the owner's machine froze while its group
-// was held, and servers worked on for callers that had left: nothing but the
-// owner's own machine could have let the group go on.
+// Failure: half of the orders were lost and the owner's machine froze while its
+// group was held. Only the owner's machine could have released the group, and
+// servers worked on for callers that had left.
 TEST_CASE("A group whose ranks lose orders is not held") {
   MapSwitch map_switch;
   const TimePoint now{std::chrono::seconds(100)};
-  const auto hear = [&](uint32_t losing, Version prepared) {
+  const auto receive = [&](uint32_t losing, Version prepared) {
     for (uint32_t rank = 0; rank < 8; ++rank) {
       HandleStatus(map_switch,
                    {.group = "g",
@@ -355,26 +363,26 @@
                    now);
     }
   };
-  hear(3, 0);
+  receive(3, 0);
   CHECK_FALSE(is_ready_for_map(map_switch, now));
-  hear(2, 0);
+  receive(2, 0);
   REQUIRE(is_ready_for_map(map_switch, now));
   StartSwitch(map_switch, ExpertLists(1), now);
-  SUBCASE("The switch is given up before anything is held") {
-    hear(3, 1);
+  SUBCASE("The switch is aborted before the group is held") {
+    receive(3, 1);
     Continue(map_switch, now);
     CHECK(map_switch.phase == SwitchPhase::kIdle);
   }
-  SUBCASE("A rank or two that lose one do not matter") {
-    hear(2, 1);
+  SUBCASE("Two ranks that lose orders do not abort the switch") {
+    receive(2, 1);
     Continue(map_switch, now);
     CHECK(map_switch.phase == SwitchPhase::kHolding);
   }
 }
 
-// Story: a rank restarted in the middle of a switch; orders of the epoch
-// before reached its server.
-TEST_CASE("Orders of an epoch that is over are refused") {
+// Failure: a rank restarted during a switch, and orders of the previous epoch
+// reached its server.
+TEST_CASE("Orders of a previous epoch are refused") {
   SimulatedRanks ranks(kRanks, 1);
   const Order old_order{
       .epoch = 1, .expected_sequence = 0, .body = Hold{.step = 5}};
@@ -384,7 +392,7 @@
 
 namespace {
 
-// Four ranks that have all prepared a map, as their owner sees them.
+// Returns the owner's state when four ranks have all prepared a map.
 MapSwitch PreparedSwitch(TimePoint now) {
   MapSwitch map_switch;
   RankStatus status{.group = "g",
@@ -397,7 +405,7 @@
     HandleStatus(map_switch, status, now);
   }
   StartSwitch(map_switch, ExpertLists(1, {{0}, {1}, {2}, {3}}), now);
-  status.prepared = map_switch.wish.version;
+  status.prepared = map_switch.desired_map.version;
   for (status.rank = 0; status.rank < kRanks; ++status.rank) {
     HandleStatus(map_switch, status, now);
   }
@@ -407,31 +415,32 @@
 
 }  // namespace
 
-// Story: demand had jumped and passes took 110 ms. The copies were there, and
-// yet the old map ran for a whole further pass, since the group was held two
-// passes ahead although the one under way had just begun.
-TEST_CASE("A group is held at the next pass where the arms have time") {
+// Failure: with passes of 110 ms after a demand shift, the old map stayed in
+// force for a whole further pass although all copies were complete: the group
+// was held two passes ahead although the running pass had just begun.
+TEST_CASE(
+    "A group is held at the next pass if there is time to arm all ranks") {
   const TimePoint now{std::chrono::seconds(1000)};
   MapSwitch map_switch = PreparedSwitch(now);
   SUBCASE("The pass has just begun") {
     map_switch.pass_began = now - std::chrono::milliseconds(15);
     Continue(map_switch, now);
-    CHECK(map_switch.wish.hold_step == 41);
+    CHECK(map_switch.desired_map.hold_step == 41);
   }
   SUBCASE("The pass is nearly over") {
     map_switch.pass_began = now - std::chrono::milliseconds(80);
     Continue(map_switch, now);
-    CHECK(map_switch.wish.hold_step == 42);
+    CHECK(map_switch.desired_map.hold_step == 42);
   }
-  SUBCASE("Nothing is known of the pass") {
+  SUBCASE("The start of the pass is unknown") {
     Continue(map_switch, now);
-    CHECK(map_switch.wish.hold_step == 42);
+    CHECK(map_switch.desired_map.hold_step == 42);
   }
-  SUBCASE("Arms were lost lately and took long") {
+  SUBCASE("Recent switches took long to arm") {
     map_switch.arming_time = std::chrono::milliseconds(150);
     map_switch.pass_began = now;
     Continue(map_switch, now);
-    CHECK(map_switch.wish.hold_step == 42);
+    CHECK(map_switch.desired_map.hold_step == 42);
   }
 }
 
--- a/Tests/LibPlacement/TestPassChoices.cc
+++ b/Tests/LibPlacement/TestPassChoices.cc
@@ -115,19 +115,19 @@
   for (uint64_t step = 1; step <= 4; ++step) {
     int tellers = 0;
     for (uint32_t rank = 0; rank < 32; ++rank) {
-      tellers += is_teller(rank, 32, step) ? 1 : 0;
+      tellers += is_reporter(rank, 32, step) ? 1 : 0;
     }
     CHECK(tellers == 8);
   }
   for (uint32_t rank = 0; rank < 8; ++rank) {
-    CHECK(is_teller(rank, 8, 5));
+    CHECK(is_reporter(rank, 8, 5));
   }
   PassChoices pass;
   constexpr ChoicesShape kLarge{.ranks = 32, .sets = 1, .experts = 4};
   std::optional<Choices> whole;
   const std::vector<uint32_t> counts{1, 0, 0, 0};
   for (uint32_t rank = 0; rank < 32; ++rank) {
-    if (is_teller(rank, 32, 6)) {
+    if (is_reporter(rank, 32, 6)) {
       CHECK_FALSE(whole);
       whole = AddChoices(
           pass, {.rank = rank, .epoch = 1, .step = 6, .counts = counts}, kLarge,
