--- a/Libraries/LibMapSwitch/Rank.h
+++ b/Libraries/LibMapSwitch/Rank.h
@@ -26,6 +26,7 @@
   uint64_t epoch = 0;
   uint32_t rank = 0;
   uint32_t size = 0;
+  // Whether the group is open for requests.
   bool is_open = false;
   // Whether the rank is still carrying out an order.
   bool is_busy = false;
--- a/Libraries/LibMapSwitch/Switch.h
+++ b/Libraries/LibMapSwitch/Switch.h
@@ -72,6 +72,7 @@
   DesiredMap desired_map;
   // By rank; the owner's rank is 0.
   std::vector<std::optional<ReceivedStatus>> ranks;
+  // When the phase was entered.
   TimePoint since;
   // When arming began; from then on the switch may keep the group waiting.
   TimePoint arming_since;
--- a/Services/bramleyspand/Rank/MapOwner.h
+++ b/Services/bramleyspand/Rank/MapOwner.h
@@ -11,7 +11,8 @@
                       const std::string& from_ip,
                       const membership::wire::RankNewsT& update);
 
-// Handles a leader's bundle of its ranks' updates. Returns the same.
+// Handles a leader's bundle of its ranks' updates. Returns whether demand
+// has shifted.
 bool HandleBundle(RankState& state,
                   const std::string& from_ip,
                   const membership::wire::NewsBundleT& bundle);
--- a/Services/bramleyspand/Rank/RankMessages.h
+++ b/Services/bramleyspand/Rank/RankMessages.h
@@ -31,8 +31,8 @@
     const mapswitch::DesiredMap& desired_map,
     const std::string& group,
     const VersionedMap& base);
-// The map is empty if the message has none, or has differences from a map other
-// than `base`.
+// Returns the desired map; its expert lists are empty if the message has none,
+// or has differences from a map other than `base`.
 mapswitch::DesiredMap FromWire(const membership::wire::MapWishT& desired_map,
                                uint32_t ranks,
                                const VersionedMap& base);
--- a/Services/bramleyspand/Rank/RankState.h
+++ b/Services/bramleyspand/Rank/RankState.h
@@ -27,6 +27,7 @@
   uint32_t sets = 0;
   uint32_t experts = 0;
   uint32_t places_per_rank = 0;
+  // New experts that a rank can take in one set at a time.
   uint32_t spare = 0;
   // Time to copy one expert.
   Duration copy{};
