--- a/Libraries/LibGateway/EventReader.cc
+++ b/Libraries/LibGateway/EventReader.cc
@@ -33,13 +33,12 @@
 
 // The number of bytes up to and including the first blank line; 0 if none.
 size_t FindEventEnd(std::string_view bytes) {
-  const size_t plain = bytes.find("\n\n");
-  const size_t with_returns = bytes.find("\r\n\r\n");
-  const size_t plain_end =
-      plain == std::string_view::npos ? bytes.npos : plain + 2;
-  const size_t returns_end =
-      with_returns == std::string_view::npos ? bytes.npos : with_returns + 4;
-  const size_t end = std::min(plain_end, returns_end);
+  const size_t lf = bytes.find("\n\n");
+  const size_t crlf = bytes.find("\r\n\r\n");
+  const size_t lf_end = lf == std::string_view::npos ? bytes.npos : lf + 2;
+  const size_t crlf_end =
+      crlf == std::string_view::npos ? bytes.npos : crlf + 4;
+  const size_t end = std::min(lf_end, crlf_end);
   return end == std::string_view::npos ? 0 : end;
 }
 
--- a/Libraries/LibGateway/Offers.cc
+++ b/Libraries/LibGateway/Offers.cc
@@ -9,9 +9,9 @@
 namespace {
 
 // An agent that has said nothing for so long is not asked.
-constexpr Duration kSilent = std::chrono::milliseconds(800);
+constexpr Duration kUnresponsiveAfter = std::chrono::milliseconds(800);
 
-double FullnessOf(const Offer& offer) {
+double UtilizationOf(const Offer& offer) {
   return (static_cast<double>(offer.load) + 1) / std::max(1.0, offer.limit);
 }
 
@@ -19,7 +19,7 @@
   if (left.is_slow != right.is_slow) {
     return left.is_slow;
   }
-  return FullnessOf(left) < FullnessOf(right);
+  return UtilizationOf(left) < UtilizationOf(right);
 }
 
 }  // namespace
@@ -29,7 +29,7 @@
                                                    : view.target.address.ip;
 }
 
-std::vector<const TargetView*> PickRanksToAsk(
+std::vector<const TargetView*> PickRanksToProbe(
     const TargetTable& targets,
     std::string_view service,
     const std::set<std::string>& excluded,
@@ -38,8 +38,9 @@
     TimePoint now) {
   std::map<std::string, std::vector<const TargetView*>> groups;
   ForEachUsable(targets, service, excluded, [&](const TargetView& view) {
-    const bool is_silent = view.rank && now - view.rank->heard > kSilent;
-    if (!is_silent && view.avoided_until <= now) {
+    const bool is_unresponsive =
+        view.rank && now - view.rank->received_at > kUnresponsiveAfter;
+    if (!is_unresponsive && view.avoided_until <= now) {
       groups[view.rank ? view.rank->group : ""].push_back(&view);
     }
   });
@@ -51,11 +52,11 @@
   }
   std::shuffle(shuffled.begin(), shuffled.end(), random);
   std::vector<const TargetView*> picked;
-  for (size_t turn = 0; picked.size() < count; ++turn) {
+  for (size_t round = 0; picked.size() < count; ++round) {
     const size_t before = picked.size();
     for (const auto& ranks : shuffled) {
-      if (turn < ranks.size() && picked.size() < count) {
-        picked.push_back(ranks[turn]);
+      if (round < ranks.size() && picked.size() < count) {
+        picked.push_back(ranks[round]);
       }
     }
     if (picked.size() == before) {
--- a/Libraries/LibGateway/Offers.h
+++ b/Libraries/LibGateway/Offers.h
@@ -14,7 +14,7 @@
 namespace bramleyspan::gateway {
 
 // Agents asked for one stream.
-inline constexpr size_t kProbes = 6;
+inline constexpr size_t kProbesPerStream = 6;
 
 // What the agent beside a rank says about a place for one more stream.
 struct Offer {
@@ -32,7 +32,7 @@
 
 // Up to `count` ranks of the service whose agents can be asked, drawn at random
 // and from each group alike. Those that were not heard of yet are a group too.
-std::vector<const TargetView*> PickRanksToAsk(
+std::vector<const TargetView*> PickRanksToProbe(
     const TargetTable& targets,
     std::string_view service,
     const std::set<std::string>& excluded,
--- a/Libraries/LibGateway/Places.cc
+++ b/Libraries/LibGateway/Permits.cc
@@ -1,4 +1,4 @@
-#include "LibGateway/Places.h"
+#include "LibGateway/Permits.h"
 
 #include <algorithm>
 #include <cmath>
@@ -10,30 +10,30 @@
 namespace {
 
 // Streams a rank runs at once before anything is known of its passes.
-constexpr double kFirstPerRank = 5;
-constexpr double kLeastPerRank = 2;
+constexpr double kInitialStreamsPerRank = 5;
+constexpr double kMinStreamsPerRank = 2;
 // The part of the longest pause at which a usual pass is held, so that the
 // unusual ones stay under it too.
-constexpr double kAimedPart = 0.85;
+constexpr double kDesiredPauseFraction = 0.85;
 // The pause that nine in ten do not exceed stands for the usual pass.
-constexpr double kUsualQuantile = 0.9;
-constexpr size_t kLeastPauses = 12;
-constexpr size_t kMostPauses = 4096;
-constexpr double kRaisePerAdjustment = 1.04;
-constexpr double kLowerPerAdjustment = 0.9;
+constexpr double kPauseQuantile = 0.9;
+constexpr size_t kMinPauseSamples = 12;
+constexpr size_t kMaxPauseSamples = 4096;
+constexpr double kMaxAdjustmentFactor = 1.04;
+constexpr double kMinAdjustmentFactor = 0.9;
 constexpr double kGain = 0.25;
 // Gateways that each keep to their share may exceed the limit by this factor
 // while others give back what they had borrowed.
 // A pause of this part of the longest one keeps new streams away for a moment.
-constexpr int kStrainedPercent = 85;
-constexpr Duration kRefusalTime = std::chrono::milliseconds(150);
-constexpr Duration kStrainTime = std::chrono::milliseconds(100);
-constexpr double kOverdraft = 1.1;
+constexpr int kOverloadPausePercent = 85;
+constexpr Duration kRefusalCooldown = std::chrono::milliseconds(150);
+constexpr Duration kOverloadCooldown = std::chrono::milliseconds(100);
+constexpr double kOvercommitFactor = 1.1;
 // The random part of a stream's weight.
 constexpr double kJitter = 1.0;
 // The limit is raised only where it is used: an idle group's short passes say
 // nothing of a full one's.
-constexpr double kUsedPart = 0.75;
+constexpr double kMinUsedFraction = 0.75;
 
 struct GroupLoad {
   uint32_t ranks = 0;
@@ -58,18 +58,18 @@
   return loads;
 }
 
-GroupPlaces& PlacesOf(Places& places, const std::string& group) {
-  GroupPlaces& found = places.groups[group];
-  if (found.per_rank == 0) {
-    found.per_rank = kFirstPerRank;
+GroupPermits& PermitsOf(Permits& permits, const std::string& group) {
+  GroupPermits& found = permits.groups[group];
+  if (found.streams_per_rank == 0) {
+    found.streams_per_rank = kInitialStreamsPerRank;
   }
   return found;
 }
 
 // Whether this gateway may start another stream in the group.
-bool has_place(const GroupPlaces& group,
-               const GroupLoad& load,
-               const Sharing& sharing) {
+bool has_permit(const GroupPermits& group,
+                const GroupLoad& load,
+                const Sharing& sharing) {
   const auto own = static_cast<double>(load.own);
   const auto total = static_cast<double>(load.total);
   const double limit = LimitOf(group, load.ranks);
@@ -77,31 +77,32 @@
   // Shares are fractions of a stream; what is left over goes to whoever sees
   // it free.
   if (own + 1 <= share) {
-    return total + 1 <= limit * kOverdraft;
+    return total + 1 <= limit * kOvercommitFactor;
   }
   // Beyond the share: what the others leave, less one place for each of them
   // that wants one too and has not yet told that it took it.
-  return total + 1 + static_cast<double>(sharing.hungry_others) <= limit;
+  return total + 1 + static_cast<double>(sharing.others_waiting) <= limit;
 }
 
 // Draws a group that has a place by the room it has; empty if none has.
-std::string DrawGroup(Places& places,
+std::string DrawGroup(Permits& permits,
                       const GroupLoads& loads,
                       const Sharing& sharing,
                       std::minstd_rand& random,
                       TimePoint now) {
-  constexpr double kLeastRoom = 0.5;
+  constexpr double kMinRoom = 0.5;
   std::vector<std::pair<std::string, double>> rooms;
   double sum = 0;
   for (const auto& [name, load] : loads) {
-    const GroupPlaces& group = PlacesOf(places, name);
-    const bool is_strained = now - group.strained_at < kStrainTime ||
-                             now - group.refused_at < kRefusalTime;
-    if (!load.is_open || is_strained || !has_place(group, load, sharing)) {
+    const GroupPermits& group = PermitsOf(permits, name);
+    const bool is_cooling_down =
+        now - group.overloaded_at < kOverloadCooldown ||
+        now - group.refused_at < kRefusalCooldown;
+    if (!load.is_open || is_cooling_down || !has_permit(group, load, sharing)) {
       continue;
     }
     const double room = LimitOf(group, load.ranks) - load.total;
-    rooms.emplace_back(name, std::max(kLeastRoom, room * room));
+    rooms.emplace_back(name, std::max(kMinRoom, room * room));
     sum += rooms.back().second;
   }
   double drawn = std::uniform_real_distribution<double>(0, sum)(random);
@@ -116,8 +117,8 @@
 
 }  // namespace
 
-double LimitOf(const GroupPlaces& group, uint32_t ranks) {
-  return group.per_rank * ranks;
+double LimitOf(const GroupPermits& group, uint32_t ranks) {
+  return group.streams_per_rank * ranks;
 }
 
 std::string GroupOf(const TargetView& view) {
@@ -127,17 +128,17 @@
   return "service:" + view.target.service;
 }
 
-const TargetView* ChoosePlace(Places& places,
-                              const TargetTable& targets,
-                              const Service& service,
-                              const Sharing& sharing,
-                              const std::set<std::string>& excluded,
-                              uint64_t random_bits,
-                              TimePoint now) {
+const TargetView* ChooseTargetWithPermit(Permits& permits,
+                                         const TargetTable& targets,
+                                         const Service& service,
+                                         const Sharing& sharing,
+                                         const std::set<std::string>& excluded,
+                                         uint64_t random_bits,
+                                         TimePoint now) {
   std::minstd_rand random(static_cast<uint32_t>(random_bits));
-  const std::string group = DrawGroup(places, CountLoads(targets, service.name),
-                                      sharing, random, now);
-  std::uniform_real_distribution<double> part_of_stream(0, kJitter);
+  const std::string group = DrawGroup(
+      permits, CountLoads(targets, service.name), sharing, random, now);
+  std::uniform_real_distribution<double> jitter(0, kJitter);
   const TargetView* best = nullptr;
   double best_cost = 0;
   ForEachUsable(targets, service.name, excluded, [&](const TargetView& view) {
@@ -148,7 +149,7 @@
     const double pace = view.rank ? std::max(1.0, view.rank->pace) : 1;
     const double cost = (view.load() + 1) * pace + FailureScore(view, now) +
                         (view.avoided_until > now ? 1000.0 : 0.0) +
-                        part_of_stream(random);
+                        jitter(random);
     if (best == nullptr || cost < best_cost) {
       best = &view;
       best_cost = cost;
@@ -157,57 +158,58 @@
   return best;
 }
 
-void NotePause(Places& places,
-               const std::string& group,
-               Duration pause,
-               Duration longest_pause,
-               TimePoint now) {
-  GroupPlaces& noted = places.groups[group];
-  if (noted.pauses.size() < kMostPauses) {
-    noted.pauses.push_back(pause);
+void RecordPause(Permits& permits,
+                 const std::string& group,
+                 Duration pause,
+                 Duration longest_pause,
+                 TimePoint now) {
+  GroupPermits& recorded = permits.groups[group];
+  if (recorded.pauses.size() < kMaxPauseSamples) {
+    recorded.pauses.push_back(pause);
   }
-  if (pause >= longest_pause * kStrainedPercent / 100) {
-    noted.strained_at = now;
+  if (pause >= longest_pause * kOverloadPausePercent / 100) {
+    recorded.overloaded_at = now;
   }
 }
 
-void NoteRefusal(Places& places, const std::string& group, TimePoint now) {
-  places.groups[group].refused_at = now;
+void RecordRefusal(Permits& permits, const std::string& group, TimePoint now) {
+  permits.groups[group].refused_at = now;
 }
 
-void AdjustLimits(Places& places,
+void AdjustLimits(Permits& permits,
                   const TargetTable& targets,
                   const Service& service,
                   Duration longest_pause) {
   const GroupLoads loads = CountLoads(targets, service.name);
   for (const auto& [name, load] : loads) {
-    GroupPlaces& group = PlacesOf(places, name);
-    if (group.pauses.size() < kLeastPauses) {
+    GroupPermits& group = PermitsOf(permits, name);
+    if (group.pauses.size() < kMinPauseSamples) {
       continue;
     }
     const auto at =
         group.pauses.begin() +
-        static_cast<int64_t>(kUsualQuantile *
+        static_cast<int64_t>(kPauseQuantile *
                              static_cast<double>(group.pauses.size() - 1));
     std::nth_element(group.pauses.begin(), at, group.pauses.end());
-    group.usual_pause = *at;
+    group.pause_quantile = *at;
     group.pauses.clear();
-    const double aimed =
-        kAimedPart * static_cast<double>(longest_pause.count());
-    const double over =
-        (aimed - static_cast<double>(group.usual_pause.count())) / aimed;
-    double factor =
-        std::clamp(1 + kGain * over, kLowerPerAdjustment, kRaisePerAdjustment);
+    const double desired =
+        kDesiredPauseFraction * static_cast<double>(longest_pause.count());
+    const double headroom =
+        (desired - static_cast<double>(group.pause_quantile.count())) / desired;
+    double factor = std::clamp(1 + kGain * headroom, kMinAdjustmentFactor,
+                               kMaxAdjustmentFactor);
     const bool is_used = static_cast<double>(load.total) >=
-                         kUsedPart * LimitOf(group, load.ranks);
+                         kMinUsedFraction * LimitOf(group, load.ranks);
     if (factor > 1 && !is_used) {
       factor = 1;
     }
-    const double most = std::max(1.0, 0.7 * service.engine->slots);
-    group.per_rank = std::clamp(group.per_rank * factor,
-                                std::min(most, kLeastPerRank), most);
+    const double highest = std::max(1.0, 0.7 * service.engine->slots);
+    group.streams_per_rank =
+        std::clamp(group.streams_per_rank * factor,
+                   std::min(highest, kMinStreamsPerRank), highest);
   }
-  std::erase_if(places.groups, [&loads](const auto& item) {
+  std::erase_if(permits.groups, [&loads](const auto& item) {
     return !loads.contains(item.first);
   });
 }
--- a/Libraries/LibGateway/Places.h
+++ b/Libraries/LibGateway/Permits.h
@@ -18,18 +18,18 @@
 
 namespace bramleyspan::gateway {
 
-struct GroupPlaces {
+struct GroupPermits {
   // Streams that may run at once at each rank. Ranks become known one after
   // the other, so that a limit of the whole group would begin too low.
-  double per_rank = 0;
+  double streams_per_rank = 0;
   // Pauses seen since the last adjustment.
   std::vector<Duration> pauses;
   // The longest usual pause lately, for the dump.
-  Duration usual_pause{};
+  Duration pause_quantile{};
   // When a pause was last about as long as may be. What is in demand jumps,
   // and with a map of the moment before passes take twice as long at once;
   // each further prompt would make all streams of the group late.
-  TimePoint strained_at;
+  TimePoint overloaded_at;
   // A rank turned a stream away: its group is being formed, or is full beyond
   // what this gateway knows. Asking the next rank would only use up the
   // request's attempts.
@@ -37,10 +37,10 @@
 };
 
 // Streams that may run at once in a whole group.
-double LimitOf(const GroupPlaces& group, uint32_t ranks);
+double LimitOf(const GroupPermits& group, uint32_t ranks);
 
-struct Places {
-  std::map<std::string, GroupPlaces> groups;
+struct Permits {
+  std::map<std::string, GroupPermits> groups;
 };
 
 // How a gateway shares the groups with the others.
@@ -48,7 +48,7 @@
   // Gateways at work, this one among them.
   size_t gateways = 1;
   // Those of the others that have requests waiting.
-  size_t hungry_others = 0;
+  size_t others_waiting = 0;
 };
 
 // The group of a target. Targets whose group is not known share one by
@@ -59,27 +59,27 @@
 // are drawn by the room they have, and ranks with a random part of a stream's
 // weight: what a gateway knows of the others is up to a heartbeat old, and the
 // emptiest rank would get the next stream of every one of them.
-const TargetView* ChoosePlace(Places& places,
-                              const TargetTable& targets,
-                              const Service& service,
-                              const Sharing& sharing,
-                              const std::set<std::string>& excluded,
-                              uint64_t random_bits,
-                              TimePoint now);
+const TargetView* ChooseTargetWithPermit(Permits& permits,
+                                         const TargetTable& targets,
+                                         const Service& service,
+                                         const Sharing& sharing,
+                                         const std::set<std::string>& excluded,
+                                         uint64_t random_bits,
+                                         TimePoint now);
 
 // A stream of a group had a pause between events.
-void NotePause(Places& places,
-               const std::string& group,
-               Duration pause,
-               Duration longest_pause,
-               TimePoint now);
+void RecordPause(Permits& permits,
+                 const std::string& group,
+                 Duration pause,
+                 Duration longest_pause,
+                 TimePoint now);
 
 // A rank of a group turned a stream away without running it.
-void NoteRefusal(Places& places, const std::string& group, TimePoint now);
+void RecordRefusal(Permits& permits, const std::string& group, TimePoint now);
 
 // Sets the limits by the pauses since the last call. `longest_pause` is what
 // counts as on time.
-void AdjustLimits(Places& places,
+void AdjustLimits(Permits& permits,
                   const TargetTable& targets,
                   const Service& service,
                   Duration longest_pause);
--- a/Libraries/LibGateway/RepeatBudget.cc
+++ b/Libraries/LibGateway/RepeatBudget.cc
@@ -6,7 +6,7 @@
 
 // Repeats arrive a little later than they are counted here, and other entries
 // may have come since the count of entries was taken.
-constexpr double kShareTaken = 0.8;
+constexpr double kUsableFraction = 0.8;
 
 void DropBefore(std::deque<TimePoint>& times, TimePoint first) {
   while (!times.empty() && times.front() < first) {
@@ -16,9 +16,9 @@
 
 }  // namespace
 
-void NoteRequest(RepeatBudget& budget,
-                 const std::string& service,
-                 TimePoint now) {
+void RecordRequest(RepeatBudget& budget,
+                   const std::string& service,
+                   TimePoint now) {
   auto& history = budget.services[service];
   DropBefore(history.requests, now - budget.settings.window);
   history.requests.push_back(now);
@@ -26,16 +26,16 @@
 
 bool TakeRepeat(RepeatBudget& budget,
                 const std::string& service,
-                size_t entries,
+                size_t gateways,
                 TimePoint now) {
   auto& history = budget.services[service];
   DropBefore(history.requests, now - budget.settings.window);
   DropBefore(history.repeats,
              now - budget.settings.window - std::chrono::seconds(1));
   const double allowed =
-      kShareTaken *
+      kUsableFraction *
       (budget.settings.ratio * static_cast<double>(history.requests.size()) +
-       budget.settings.slack / static_cast<double>(entries));
+       budget.settings.slack / static_cast<double>(gateways));
   if (static_cast<double>(history.repeats.size()) + 1 > allowed) {
     return false;
   }
--- a/Libraries/LibGateway/RepeatBudget.h
+++ b/Libraries/LibGateway/RepeatBudget.h
@@ -30,14 +30,14 @@
 };
 
 // A caller's request for a service has come.
-void NoteRequest(RepeatBudget& budget,
-                 const std::string& service,
-                 TimePoint now);
+void RecordRequest(RepeatBudget& budget,
+                   const std::string& service,
+                   TimePoint now);
 
 // Takes one repeat if this entry's share, one of `entries`, has one left.
 bool TakeRepeat(RepeatBudget& budget,
                 const std::string& service,
-                size_t entries,
+                size_t gateways,
                 TimePoint now);
 
 }  // namespace bramleyspan::gateway
--- a/Libraries/LibGateway/RouteTable.h
+++ b/Libraries/LibGateway/RouteTable.h
@@ -33,11 +33,11 @@
   // The longest pause between a stream's events that is still on time.
   Duration longest_pause{};
   // A stream's caller leaves after so long without an event.
-  Duration patience = std::chrono::seconds(2);
+  Duration event_timeout = std::chrono::seconds(2);
   int priority = 0;
   std::vector<SplitPart> split;
   // Targets to which one request may be sent.
-  int most_targets = 1;
+  int max_targets = 1;
   bool is_public = false;
   bool is_resumable = false;
 
@@ -60,13 +60,13 @@
   // The expert map's shape; no sets if the engine has no experts.
   uint32_t sets = 0;
   uint32_t experts = 0;
-  uint32_t places_per_rank = 0;
+  uint32_t expert_slots_per_rank = 0;
   uint32_t spare = 0;
   double expert_megabytes = 0;
   double link_megabits_per_second = 0;
   double expert_share = 0;
-  uint32_t usual_prompt = 1;
-  uint32_t usual_answer = 1;
+  uint32_t typical_prompt = 1;
+  uint32_t typical_answer = 1;
 };
 
 // How long a rank takes to copy an expert; zero if that is not known.
@@ -74,7 +74,7 @@
 
 struct Service {
   std::string name;
-  uint32_t most_connections = 0;
+  uint32_t max_connections = 0;
   std::optional<EngineShape> engine;
 };
 
--- a/Libraries/LibGateway/Targets.cc
+++ b/Libraries/LibGateway/Targets.cc
@@ -11,14 +11,14 @@
 // A failure counts half after this time.
 constexpr Duration kFailureHalfLife = std::chrono::seconds(2);
 // An unreachable target is left alone this long, then tried again.
-constexpr Duration kAvoidTime = std::chrono::milliseconds(1500);
+constexpr Duration kAvoidDuration = std::chrono::milliseconds(1500);
 // The load that a recent failure counts as, in parts of all slots.
 constexpr double kFailureWeight = 0.6;
 // A target in another zone counts as a little more loaded.
 constexpr double kOtherZoneWeight = 0.02;
 constexpr double kJitterWeight = 0.01;
 // Good answers wear failures off.
-constexpr double kGoodFactor = 0.9;
+constexpr double kSuccessDecay = 0.9;
 
 double JitterOf(uint64_t bits, const std::string& id) {
   const uint64_t mixed =
@@ -57,10 +57,10 @@
   return view.failures * std::exp2(-std::max(0.0, age));
 }
 
-void NoteOutcome(TargetTable& table,
-                 const std::string& id,
-                 Outcome outcome,
-                 TimePoint now) {
+void RecordOutcome(TargetTable& table,
+                   const std::string& id,
+                   Outcome outcome,
+                   TimePoint now) {
   const auto found = table.by_id.find(id);
   if (found == table.by_id.end()) {
     return;
@@ -70,7 +70,7 @@
   view.failures_at = now;
   switch (outcome) {
     case Outcome::kGood:
-      view.failures *= kGoodFactor;
+      view.failures *= kSuccessDecay;
       return;
     case Outcome::kFailed:
       view.failures += 1;
@@ -80,7 +80,7 @@
       return;
     case Outcome::kUnreachable:
       view.failures += 1;
-      view.avoided_until = now + kAvoidTime;
+      view.avoided_until = now + kAvoidDuration;
       return;
   }
 }
--- a/Libraries/LibGateway/Targets.h
+++ b/Libraries/LibGateway/Targets.h
@@ -38,7 +38,7 @@
   double pace = 1;
   // The agent that told this; it can be asked for a place.
   std::string agent_ip;
-  TimePoint heard;
+  TimePoint received_at;
 };
 
 struct TargetView {
@@ -72,10 +72,10 @@
 
 // How a request at a target ended, for choosing the next one.
 enum class Outcome { kGood, kFailed, kUnreachable, kMisdirected };
-void NoteOutcome(TargetTable& table,
-                 const std::string& id,
-                 Outcome outcome,
-                 TimePoint now);
+void RecordOutcome(TargetTable& table,
+                   const std::string& id,
+                   Outcome outcome,
+                   TimePoint now);
 
 // Failures as they count now.
 double FailureScore(const TargetView& view, TimePoint now);
--- a/Libraries/LibGateway/Waiting.h
+++ b/Libraries/LibGateway/Waiting.h
@@ -14,7 +14,7 @@
 // Failure: callers that were refused while a group was down returned as it
 // opened and were taken for new ones; what could still be in time waited behind
 // them.
-struct Patience {
+struct WaitBudget {
   // The longest time left that was named lately.
   Duration longest{};
   TimePoint longest_at;
@@ -23,19 +23,19 @@
 // Takes the time that a caller has left, no more than its route allows. Returns
 // whether it must have waited before: it has much less left than others of the
 // same route.
-bool NotePatience(Patience& patience, Duration left, TimePoint now);
+bool RecordWaitBudget(WaitBudget& budget, Duration left, TimePoint now);
 
 // What decides how long a request may wait.
 struct WaitLimits {
   bool is_streaming = false;
   // Whether the caller has waited before, so that it will not come once more.
-  bool is_returning = false;
+  bool is_retry = false;
   // The time within which the first event is on time.
   Duration objective{};
   // What is left of the caller's time and the route's.
   Duration allowed{};
   // How long a caller listens without an event.
-  Duration silence{};
+  Duration event_timeout{};
 };
 
 struct Wait {
@@ -51,7 +51,7 @@
 struct Urgency {
   int priority = 0;
   bool is_late = false;
-  bool is_returning = false;
+  bool is_retry = false;
 };
 
 // Whether `left` goes first: the more urgent, then those that can still be in
@@ -59,15 +59,15 @@
 bool is_before(const Urgency& left, const Urgency& right);
 
 // What stands in a refused request's way.
-enum class Obstacle {
+enum class RefusalReason {
   // All places are taken, or the group is closed.
-  kNoPlace,
+  kNoPermit,
   // The target had no slot a moment ago.
   kRejected,
   // The desired state is being read.
   kStarting,
   // It can't be read: the store does not answer.
-  kStoreAway,
+  kStoreUnavailable,
 };
 
 // When a refused caller is told to come back. What may be over in a moment is
@@ -75,6 +75,6 @@
 //
 // Failure: callers come back once. After a loss of power those that were told
 // to come back in half a second met a store that was still away.
-Duration ReturnAfter(Obstacle obstacle, Duration left);
+Duration RetryDelayFor(RefusalReason reason, Duration left);
 
 }  // namespace bramleyspan::gateway
--- a/Services/bramleyspand/Gateway/Feeds.cc
+++ b/Services/bramleyspand/Gateway/Feeds.cc
@@ -71,11 +71,11 @@
 
 // How long the watches of gateways wait that need not notice silence
 // themselves.
-constexpr Duration kRelaxedWait = std::chrono::seconds(8);
+constexpr Duration kPassiveWait = std::chrono::seconds(8);
 // In a large fleet they hear of each change from several peers; a watch that
 // told them too would be a call for each change at each gateway.
-constexpr Duration kShortWait = std::chrono::milliseconds(20);
-constexpr Duration kPause = std::chrono::seconds(15);
+constexpr Duration kLargeFleetWait = std::chrono::milliseconds(20);
+constexpr Duration kLargeFleetPause = std::chrono::seconds(15);
 
 std::string Milliseconds(Duration duration) {
   return std::to_string(
@@ -135,23 +135,23 @@
   state.targets_feed->Start();
 }
 
-void AdjustWatching(GatewayState& state, TimePoint now) {
-  const bool is_close =
+void AdjustWatches(GatewayState& state, TimePoint now) {
+  const bool is_active =
       membership::is_close_watcher(state.members, state.incarnation, now);
-  if (std::exchange(state.is_watching_closely, is_close) == is_close) {
+  if (std::exchange(state.is_active_watcher, is_active) == is_active) {
     return;
   }
   Log(LogLevel::kInfo, "feeds", "watching",
-      {{"how", is_close ? "closely" : "relaxed"},
+      {{"how", is_active ? "closely" : "relaxed"},
        {"gateways",
         std::to_string(membership::CountEntries(state.members, now))}});
   Duration wait = platform::CloseWatchWait(state.fleet().notice_bound);
   Duration pause{};
-  if (!is_close && membership::is_large(state.members)) {
-    wait = kShortWait;
-    pause = kPause;
-  } else if (!is_close) {
-    wait = kRelaxedWait;
+  if (!is_active && membership::is_large(state.members)) {
+    wait = kLargeFleetWait;
+    pause = kLargeFleetPause;
+  } else if (!is_active) {
+    wait = kPassiveWait;
   }
   state.table_feed->SetWatching(wait, pause);
   state.targets_feed->SetWatching(wait, pause);
--- a/Services/bramleyspand/Gateway/Feeds.h
+++ b/Services/bramleyspand/Gateway/Feeds.h
@@ -16,6 +16,6 @@
 
 // A few gateways watch closely, the others hear from them should their own
 // watch be silent. Called with every heartbeat.
-void AdjustWatching(GatewayState& state, TimePoint now);
+void AdjustWatches(GatewayState& state, TimePoint now);
 
 }  // namespace bramleyspan::gatewayd
--- a/Services/bramleyspand/Gateway/Forwarding.cc
+++ b/Services/bramleyspand/Gateway/Forwarding.cc
@@ -7,7 +7,7 @@
 #include "LibTelemetry/Log.h"
 #include "Services/bramleyspand/Gateway/ForwardingDetail.h"
 #include "Services/bramleyspand/Gateway/GatewayMetrics.h"
-#include "Services/bramleyspand/Gateway/UsageKeeping.h"
+#include "Services/bramleyspand/Gateway/UsageRecorder.h"
 
 namespace bramleyspan::gatewayd {
 
@@ -26,12 +26,12 @@
 using telemetry::LogLevel;
 
 // Connections that may fail before the request is given up.
-constexpr int kMostUnreached = 4;
+constexpr int kMaxFailedConnections = 4;
 // Where a caller names no time.
-constexpr Duration kUsualTime = std::chrono::seconds(2);
+constexpr Duration kDefaultTimeLeft = std::chrono::seconds(2);
 
 // Requests without a key or a route are counted under this name.
-constexpr std::string_view kNobody = "-";
+constexpr std::string_view kUnknownName = "-";
 
 usage::Ending EndingOf(std::string_view outcome) {
   if (outcome == "answered") {
@@ -60,7 +60,7 @@
   gateway::Sharing sharing;
   for (const auto* other : membership::LiveEntries(state.members, now)) {
     ++sharing.gateways;
-    sharing.hungry_others += other->member.is_hungry ? 1 : 0;
+    sharing.others_waiting += other->member.is_hungry ? 1 : 0;
   }
   return sharing;
 }
@@ -110,20 +110,20 @@
   const bool is_resuming =
       !FindHeader(this->request.headers, this->state.adapter.headers.last_event)
            .empty();
-  this->is_returning =
-      gateway::NotePatience(this->state.patience[this->route->name], allowed,
-                            this->arrived) ||
+  this->is_retry =
+      gateway::RecordWaitBudget(this->state.wait_budgets[this->route->name],
+                                allowed, this->arrived) ||
       is_resuming;
   this->wait = gateway::PlanWait({.is_streaming = this->is_streaming(),
-                                  .is_returning = this->is_returning,
+                                  .is_retry = this->is_retry,
                                   .objective = this->route->objective,
                                   .allowed = allowed,
-                                  .silence = this->route->patience},
+                                  .event_timeout = this->route->event_timeout},
                                  this->arrived);
-  gateway::NoteRequest(this->state.repeats, this->service, this->arrived);
+  gateway::RecordRequest(this->state.repeats, this->service, this->arrived);
   this->exchange->OnGone([self = this->weak_from_this()] {
     if (const auto forwarding = self.lock()) {
-      forwarding->HandleGone();
+      forwarding->HandleCallerGone();
     }
   });
   this->deadline_timer = this->state.loop.RunAfter(
@@ -135,7 +135,7 @@
        {"tenant", this->tenant},
        {"table_version", std::to_string(this->table->version)},
        {"left_ms", Text(allowed)},
-       {"is_returning", this->is_returning ? "true" : "false"}});
+       {"is_returning", this->is_retry ? "true" : "false"}});
   this->SendOrWait();
 }
 
@@ -170,21 +170,22 @@
   return !this->table->has_tenants || this->route->is_public;
 }
 
-bool Forwarding::TryAgain(std::string_view cause, bool has_arrived) {
+bool Forwarding::TryRepeat(std::string_view cause, bool has_reached_target) {
   const TimePoint now = EventLoop::Now();
-  constexpr Duration kLeastLeft = std::chrono::milliseconds(20);
-  if (now + kLeastLeft > this->deadline || this->exchange->is_closed()) {
+  constexpr Duration kMinTimeLeft = std::chrono::milliseconds(20);
+  if (now + kMinTimeLeft > this->deadline || this->exchange->is_closed()) {
     return false;
   }
   // Only targets that the request was sent to count against the route's
   // bound: an unreached one has nothing of it.
-  const auto reached = static_cast<int>(this->tried.size()) - this->unreached;
-  if (reached >= this->route->most_targets ||
-      this->unreached > kMostUnreached) {
+  const auto reached =
+      static_cast<int>(this->tried.size()) - this->failed_connections;
+  if (reached >= this->route->max_targets ||
+      this->failed_connections > kMaxFailedConnections) {
     return false;
   }
   const size_t gateways = membership::CountEntries(this->state.members, now);
-  if (has_arrived &&
+  if (has_reached_target &&
       !gateway::TakeRepeat(this->state.repeats, this->service, gateways, now)) {
     Log(LogLevel::kWarning, "forward", "no_budget", {{"request", this->id}});
     return false;
@@ -192,19 +193,21 @@
   Log(LogLevel::kInfo, "forward", "sent_once_more",
       {{"request", this->id}, {"cause", std::string(cause)}});
   telemetry::Count(kRepeats, {{"service", this->service}});
-  const gateway::Wait once_more = gateway::PlanWait(
+  const gateway::Wait repeat_wait = gateway::PlanWait(
       {.objective = this->route->objective, .allowed = this->deadline - now},
       now);
-  this->wait.ends = std::max(this->wait.ends, once_more.ends);
+  this->wait.ends = std::max(this->wait.ends, repeat_wait.ends);
   if (!this->TrySend()) {
     this->Wait(true);
   }
   return true;
 }
 
-void Forwarding::Refuse(int status, std::string_view cause, bool says_when) {
+void Forwarding::Refuse(int status,
+                        std::string_view cause,
+                        bool has_retry_after) {
   http::HeaderList headers;
-  if (says_when) {
+  if (has_retry_after) {
     headers.emplace_back("retry-after", this->RetryAfter());
   }
   Log(LogLevel::kWarning, "forward", "refused",
@@ -225,24 +228,25 @@
   }
   const auto left = ParseNumber(
       FindHeader(this->request.headers, this->state.adapter.headers.deadline));
-  return left ? std::chrono::milliseconds(*left) : kUsualTime;
+  return left ? std::chrono::milliseconds(*left) : kDefaultTimeLeft;
 }
 
-gateway::Obstacle Forwarding::FindObstacle() const {
+gateway::RefusalReason Forwarding::FindRefusalReason() const {
   if (this->table == nullptr) {
-    return this->state.table_feed->is_reached() ? gateway::Obstacle::kStarting
-                                                : gateway::Obstacle::kStoreAway;
+    return this->state.table_feed->is_reached()
+               ? gateway::RefusalReason::kStarting
+               : gateway::RefusalReason::kStoreUnavailable;
   }
   const bool is_closed =
       this->has_engine() &&
       !gateway::is_any_open(this->state.targets, this->service);
-  return this->sent > 0 && !is_closed ? gateway::Obstacle::kRejected
-                                      : gateway::Obstacle::kNoPlace;
+  return this->sent > 0 && !is_closed ? gateway::RefusalReason::kRejected
+                                      : gateway::RefusalReason::kNoPermit;
 }
 
 std::string Forwarding::RetryAfter() const {
   const auto after = std::chrono::duration_cast<std::chrono::milliseconds>(
-      gateway::ReturnAfter(this->FindObstacle(), this->TimeLeft()));
+      gateway::RetryDelayFor(this->FindRefusalReason(), this->TimeLeft()));
   constexpr int64_t kMillisecondsPerSecond = 1000;
   std::string fraction = std::to_string(after.count() % kMillisecondsPerSecond);
   fraction.insert(0, 3 - fraction.size(), '0');
@@ -260,7 +264,7 @@
   this->Finish("failed", status);
 }
 
-void Forwarding::BreakOff(std::string_view cause) {
+void Forwarding::AbortAnswer(std::string_view cause) {
   Log(LogLevel::kWarning, "forward", "broken_off",
       {{"request", this->id},
        {"target", this->target_id},
@@ -297,9 +301,9 @@
   const auto tokens_in = ParseNumber(
       FindHeader(this->request.headers, this->state.adapter.headers.tokens));
   this->state.usage->Count(
-      {.owner = this->tenant.empty() ? std::string(kNobody) : this->tenant,
-       .entry =
-           this->route == nullptr ? std::string(kNobody) : this->route->name,
+      {.owner = this->tenant.empty() ? std::string(kUnknownName) : this->tenant,
+       .entry = this->route == nullptr ? std::string(kUnknownName)
+                                       : this->route->name,
        .service = this->service},
       usage::Settle(
           this->meter, EndingOf(outcome),
@@ -314,8 +318,8 @@
 }
 
 // The request has nothing at its target any more, whatever came of it.
-void Forwarding::LeaveTarget(Outcome outcome) {
-  this->SettlePlace();
+void Forwarding::ReleaseTarget(Outcome outcome) {
+  this->SettlePermit();
   if (this->target_id.empty()) {
     return;
   }
@@ -324,19 +328,19 @@
   if (found != this->state.targets.by_id.end() && found->second.open > 0) {
     --found->second.open;
   }
-  gateway::NoteOutcome(this->state.targets, this->target_id, outcome,
-                       EventLoop::Now());
+  gateway::RecordOutcome(this->state.targets, this->target_id, outcome,
+                         EventLoop::Now());
   this->target_id.clear();
   this->state.loop.RunAfter(Duration(0),
                             [&state = this->state] { ServeWaiting(state); });
 }
 
-void Forwarding::HandleGone() {
+void Forwarding::HandleCallerGone() {
   auto keep_until_return = this->shared_from_this();
   if (this->call != nullptr) {
     std::exchange(this->call, nullptr)->Cancel();
   }
-  this->LeaveTarget(Outcome::kGood);
+  this->ReleaseTarget(Outcome::kGood);
   this->Finish("caller_left", 0);
 }
 
@@ -350,9 +354,9 @@
   if (this->call != nullptr) {
     std::exchange(this->call, nullptr)->Cancel();
   }
-  this->LeaveTarget(Outcome::kGood);
+  this->ReleaseTarget(Outcome::kGood);
   if (this->has_started_answer) {
-    this->BreakOff("out of time");
+    this->AbortAnswer("out of time");
   } else if (this->may_have_run) {
     this->target_id = last_target;
     this->Fail(kGatewayTimeout, "out of time");
@@ -362,14 +366,15 @@
   }
 }
 
-void Forwarding::ArmSilence(Duration after) {
-  this->state.loop.Cancel(this->silence_timer);
-  this->silence_timer = this->state.loop.RunAfter(
-      after, [self = this->shared_from_this()] { self->HandleSilence(); });
+void Forwarding::ArmAttemptTimer(Duration after) {
+  this->state.loop.Cancel(this->attempt_timer);
+  this->attempt_timer = this->state.loop.RunAfter(
+      after,
+      [self = this->shared_from_this()] { self->HandleAttemptTimeout(); });
 }
 
-void Forwarding::HandleSilence() {
-  this->silence_timer = 0;
+void Forwarding::HandleAttemptTimeout() {
+  this->attempt_timer = 0;
   if (this->is_finished || this->call == nullptr ||
       !this->route->is_repeatable()) {
     return;
@@ -381,7 +386,7 @@
 
 void Forwarding::StopTimers() {
   this->state.loop.Cancel(std::exchange(this->deadline_timer, 0));
-  this->state.loop.Cancel(std::exchange(this->silence_timer, 0));
+  this->state.loop.Cancel(std::exchange(this->attempt_timer, 0));
 }
 
 }  // namespace bramleyspan::gatewayd
--- a/Services/bramleyspand/Gateway/Forwarding.h
+++ b/Services/bramleyspand/Gateway/Forwarding.h
@@ -12,7 +12,7 @@
 #include "LibHTTP/Ingress.h"
 #include "LibUsage/RequestMeter.h"
 #include "Services/bramleyspand/Gateway/GatewayState.h"
-#include "Services/bramleyspand/Gateway/Placing.h"
+#include "Services/bramleyspand/Gateway/PermitRequests.h"
 
 namespace bramleyspan::gatewayd {
 
@@ -40,10 +40,10 @@
   bool TrySend();
 
   // Whether agents have been asked and have not all answered.
-  bool is_asking() const { return this->is_asking_agents; }
+  bool is_probing() const { return this->is_awaiting_offers; }
 
   // There was no place in time.
-  void RefuseForLackOfPlace();
+  void RefuseForLackOfPermit();
 
   // Before the others, if true.
   bool is_before(const Forwarding& other, TimePoint now) const;
@@ -59,7 +59,7 @@
 
  private:
   // What an answer is worth once it is whole.
-  enum class Verdict { kPass, kRejected, kUnsound };
+  enum class Verdict { kForward, kRejected, kInvalid };
 
   bool FindRouteAndTenant();
   bool is_allowed_by_key();
@@ -67,9 +67,10 @@
   bool has_engine() const;
   // Joins those that wait, in front of them or by priority.
   void Wait(bool is_in_front);
-  bool TryOwnView();
-  void HandlePlacing(Placing::Verdict verdict, const Placing::Place& place);
-  void SettlePlace();
+  bool TrySendByLocalView();
+  void HandlePermitDecision(PermitRequests::Verdict verdict,
+                            const PermitRequests::Permit& permit);
+  void SettlePermit();
   void SendTo(const gateway::TargetView& target);
   http::HeaderList HeadersFor(const gateway::TargetView& target,
                               TimePoint now) const;
@@ -78,31 +79,31 @@
   void HandleEvent(const gateway::StreamEvent& event);
   void HandleEnd(http::CallEnd end);
   void HandleStreamEnd(http::CallEnd end);
-  Verdict Judge() const;
+  Verdict CheckAnswer() const;
   bool is_own_answer(const http::AnswerHead& head) const;
   void HandleRejected();
   void HandleFailed(http::CallEnd end);
-  bool TryAgain(std::string_view cause, bool has_arrived);
-  void PassAnswer();
+  bool TryRepeat(std::string_view cause, bool has_reached_target);
+  void ForwardAnswer();
   http::HeaderList AnswerHeaders() const;
-  void Refuse(int status, std::string_view cause, bool says_when);
+  void Refuse(int status, std::string_view cause, bool has_retry_after);
   // Seconds after which the caller is told to come back.
   std::string RetryAfter() const;
-  gateway::Obstacle FindObstacle() const;
+  gateway::RefusalReason FindRefusalReason() const;
   // What is left of the caller's time, or of the route's if that is less.
   Duration TimeLeft() const;
   void Fail(int status, std::string_view cause);
-  void BreakOff(std::string_view cause);
+  void AbortAnswer(std::string_view cause);
   void Finish(std::string_view outcome, int status);
   // Files what the request cost under who caused it.
   void CountUsage(std::string_view outcome) const;
   // Tokens of one of the target's events.
   uint64_t TokensPerEvent() const;
-  void LeaveTarget(gateway::Outcome outcome);
-  void HandleGone();
+  void ReleaseTarget(gateway::Outcome outcome);
+  void HandleCallerGone();
   void HandleDeadline();
-  void HandleSilence();
-  void ArmSilence(Duration after);
+  void HandleAttemptTimeout();
+  void ArmAttemptTimer(Duration after);
   void StopTimers();
 
   GatewayState& state;
@@ -119,11 +120,11 @@
   TimePoint deadline;
   gateway::Wait wait;
   // Whether the caller has waited before, so that it will not come once more.
-  bool is_returning = false;
-  bool is_asking_agents = false;
-  std::optional<Placing::Place> place;
+  bool is_retry = false;
+  bool is_awaiting_offers = false;
+  std::optional<PermitRequests::Permit> permit;
   TimerId deadline_timer = 0;
-  TimerId silence_timer = 0;
+  TimerId attempt_timer = 0;
 
   std::shared_ptr<http::DirectCall> call;
   std::string target_id;
@@ -131,13 +132,13 @@
   std::set<std::string> tried;
   // Targets that the request was sent to, and connections that failed.
   int sent = 0;
-  int unreached = 0;
+  int failed_connections = 0;
   // Whether some target may have run it.
   bool may_have_run = false;
 
   std::optional<http::AnswerHead> answer;
   std::string answer_body;
-  bool is_passing_events = false;
+  bool is_forwarding_events = false;
   bool has_started_answer = false;
   std::optional<uint64_t> last_event;
   TimePoint last_event_at;
--- a/Services/bramleyspand/Gateway/ForwardingAnswers.cc
+++ b/Services/bramleyspand/Gateway/ForwardingAnswers.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-using detail::is_own_header;
+using detail::is_hop_by_hop;
 using detail::kBadGateway;
 using detail::kFirstFailure;
 using detail::kFirstServerFailure;
@@ -19,8 +19,8 @@
 using detail::kMisdirected;
 using detail::kOk;
 using detail::kRequestTimeout;
-using detail::kStreamSilence;
-using detail::kTooMany;
+using detail::kStreamEventTimeout;
+using detail::kTooManyRequests;
 using detail::kUnavailable;
 using detail::Text;
 using gateway::Outcome;
@@ -42,16 +42,16 @@
   const bool has_stamp =
       !FindHeader(head.headers, this->state.adapter.headers.stamp).empty();
   const bool is_encoded = !FindHeader(head.headers, "content-encoding").empty();
-  this->is_passing_events = this->is_streaming() && head.status == kOk &&
-                            has_stamp && !is_encoded &&
-                            this->is_own_answer(head);
+  this->is_forwarding_events = this->is_streaming() && head.status == kOk &&
+                               has_stamp && !is_encoded &&
+                               this->is_own_answer(head);
   if (this->is_streaming()) {
-    this->ArmSilence(kStreamSilence);
+    this->ArmAttemptTimer(kStreamEventTimeout);
   }
 }
 
 void Forwarding::HandleBytes(std::string_view bytes) {
-  if (!this->is_passing_events) {
+  if (!this->is_forwarding_events) {
     this->answer_body.append(bytes);
     return;
   }
@@ -81,28 +81,28 @@
   } else {
     const Duration pause = now - this->last_event_at;
     this->longest_pause = std::max(this->longest_pause, pause);
-    gateway::NotePause(this->state.places, this->group, pause,
-                       this->route->longest_pause, now);
+    gateway::RecordPause(this->state.permits, this->group, pause,
+                         this->route->longest_pause, now);
     telemetry::Observe(kPauseTime, {{"service", this->service}}, pause);
   }
-  this->SettlePlace();
+  this->SettlePermit();
   this->last_event_at = now;
   usage::NoteEvent(this->meter, this->TokensPerEvent());
   if (event.id) {
     this->last_event = event.id;
   }
   this->exchange->Write(event.bytes);
-  this->ArmSilence(kStreamSilence);
+  this->ArmAttemptTimer(kStreamEventTimeout);
 }
 
 void Forwarding::HandleEnd(CallEnd end) {
   auto keep_until_return = this->shared_from_this();
   this->call = nullptr;
-  this->state.loop.Cancel(std::exchange(this->silence_timer, 0));
+  this->state.loop.Cancel(std::exchange(this->attempt_timer, 0));
   if (this->is_finished) {
     return;
   }
-  if (this->is_passing_events) {
+  if (this->is_forwarding_events) {
     this->HandleStreamEnd(end);
     return;
   }
@@ -110,24 +110,24 @@
     this->HandleFailed(end);
     return;
   }
-  switch (this->Judge()) {
-    case Verdict::kPass:
-      this->PassAnswer();
+  switch (this->CheckAnswer()) {
+    case Verdict::kForward:
+      this->ForwardAnswer();
       return;
     case Verdict::kRejected:
       this->HandleRejected();
       return;
-    case Verdict::kUnsound:
+    case Verdict::kInvalid:
       this->HandleFailed(CallEnd::kMalformed);
       return;
   }
 }
 
-Forwarding::Verdict Forwarding::Judge() const {
+Forwarding::Verdict Forwarding::CheckAnswer() const {
   const gateway::CallHeaders& names = this->state.adapter.headers;
   const http::AnswerHead& head = *this->answer;
   if (!this->is_own_answer(head)) {
-    return Verdict::kUnsound;
+    return Verdict::kInvalid;
   }
   if (head.status == kMisdirected ||
       !FindHeader(head.headers, names.not_run).empty()) {
@@ -137,29 +137,29 @@
   const bool is_encoded = !FindHeader(head.headers, "content-encoding").empty();
   // A target's 429 or 503 without the mark may come from a run; passed on, it
   // would promise the caller that nothing ran.
-  const bool is_false_promise = head.status == kTooMany ||
-                                head.status == kUnavailable ||
-                                head.status == kRequestTimeout;
-  if (!has_stamp || is_encoded || is_false_promise || this->is_streaming()) {
-    return head.status >= kFirstFailure && has_stamp && !is_false_promise
-               ? Verdict::kPass
-               : Verdict::kUnsound;
-  }
-  return Verdict::kPass;
+  const bool is_not_run_status = head.status == kTooManyRequests ||
+                                 head.status == kUnavailable ||
+                                 head.status == kRequestTimeout;
+  if (!has_stamp || is_encoded || is_not_run_status || this->is_streaming()) {
+    return head.status >= kFirstFailure && has_stamp && !is_not_run_status
+               ? Verdict::kForward
+               : Verdict::kInvalid;
+  }
+  return Verdict::kForward;
 }
 
-void Forwarding::PassAnswer() {
+void Forwarding::ForwardAnswer() {
   const int status = this->answer->status;
   const bool is_failure = status >= kFirstServerFailure;
-  this->LeaveTarget(is_failure ? Outcome::kFailed : Outcome::kGood);
+  this->ReleaseTarget(is_failure ? Outcome::kFailed : Outcome::kGood);
   if (is_failure && this->route->is_repeatable()) {
-    const auto held_answer = this->answer;
-    const std::string held_body = this->answer_body;
-    if (this->TryAgain("target answered " + std::to_string(status), true)) {
+    const auto saved_answer = this->answer;
+    const std::string saved_body = this->answer_body;
+    if (this->TryRepeat("target answered " + std::to_string(status), true)) {
       return;
     }
-    this->answer = held_answer;
-    this->answer_body = held_body;
+    this->answer = saved_answer;
+    this->answer_body = saved_body;
   }
   this->exchange->Respond(status, this->AnswerHeaders(), this->answer_body);
   this->Finish(is_failure ? "target_failed" : "answered", status);
@@ -168,7 +168,7 @@
 http::HeaderList Forwarding::AnswerHeaders() const {
   http::HeaderList headers;
   for (const auto& [name, value] : this->answer->headers) {
-    if (!is_own_header(name)) {
+    if (!is_hop_by_hop(name)) {
       headers.emplace_back(name, value);
     }
   }
@@ -185,14 +185,15 @@
        {"target", this->target_id},
        {"status", std::to_string(this->answer->status)}});
   if (!is_misdirected) {
-    gateway::NoteRefusal(this->state.places, this->group, EventLoop::Now());
+    gateway::RecordRefusal(this->state.permits, this->group, EventLoop::Now());
   }
-  this->LeaveTarget(is_misdirected ? Outcome::kMisdirected : Outcome::kFailed);
-  if (this->TryAgain("rejected", true)) {
+  this->ReleaseTarget(is_misdirected ? Outcome::kMisdirected
+                                     : Outcome::kFailed);
+  if (this->TryRepeat("rejected", true)) {
     return;
   }
   if (this->has_started_answer) {
-    this->BreakOff("rejected when going on");
+    this->AbortAnswer("rejected when going on");
   } else if (this->may_have_run) {
     this->Fail(kBadGateway, "rejected, and may have run before");
   } else {
@@ -201,22 +202,23 @@
 }
 
 void Forwarding::HandleFailed(CallEnd end) {
-  const bool is_unreached = end == CallEnd::kNotSent;
+  const bool is_unreachable = end == CallEnd::kNotSent;
   Log(LogLevel::kWarning, "forward", "attempt_failed",
       {{"request", this->id},
        {"target", this->target_id},
        {"end", std::string(http::NameOf(end))},
        {"after_ms", Text(EventLoop::Now() - this->arrived)}});
-  this->LeaveTarget(is_unreached ? Outcome::kUnreachable : Outcome::kFailed);
-  if (is_unreached) {
-    ++this->unreached;
+  this->ReleaseTarget(is_unreachable ? Outcome::kUnreachable
+                                     : Outcome::kFailed);
+  if (is_unreachable) {
+    ++this->failed_connections;
   }
-  const bool may_go_on = is_unreached || this->route->is_repeatable();
-  if (may_go_on && this->TryAgain(http::NameOf(end), !is_unreached)) {
+  const bool may_repeat = is_unreachable || this->route->is_repeatable();
+  if (may_repeat && this->TryRepeat(http::NameOf(end), !is_unreachable)) {
     return;
   }
   if (this->has_started_answer) {
-    this->BreakOff(http::NameOf(end));
+    this->AbortAnswer(http::NameOf(end));
   } else if (this->may_have_run) {
     this->Fail(end == CallEnd::kTimeout ? kGatewayTimeout : kBadGateway,
                http::NameOf(end));
@@ -229,7 +231,7 @@
   const bool is_whole =
       end == CallEnd::kWhole && !this->events.has_partial_event();
   if (is_whole && this->has_started_answer) {
-    this->LeaveTarget(Outcome::kGood);
+    this->ReleaseTarget(Outcome::kGood);
     this->exchange->Finish();
     this->Finish("answered", kOk);
     return;
--- a/Services/bramleyspand/Gateway/ForwardingDetail.h
+++ b/Services/bramleyspand/Gateway/ForwardingDetail.h
@@ -17,16 +17,16 @@
 inline constexpr int kNotFound = 404;
 inline constexpr int kRequestTimeout = 408;
 inline constexpr int kMisdirected = 421;
-inline constexpr int kTooMany = 429;
+inline constexpr int kTooManyRequests = 429;
 inline constexpr int kBadGateway = 502;
 inline constexpr int kUnavailable = 503;
 inline constexpr int kGatewayTimeout = 504;
 // A stream that is silent for so long is looked for elsewhere. Callers leave
 // after two seconds.
-inline constexpr Duration kStreamSilence = std::chrono::milliseconds(1750);
+inline constexpr Duration kStreamEventTimeout = std::chrono::milliseconds(1750);
 
 // Headers that concern one connection only, and those that are set anew.
-inline constexpr std::array<std::string_view, 11> kOwnHeaders{
+inline constexpr std::array<std::string_view, 11> kHopByHopHeaders{
     "connection", "keep-alive", "proxy-connection",    "te",
     "trailer",    "upgrade",    "transfer-encoding",   "content-length",
     "expect",     "host",       "proxy-authorization",
@@ -39,9 +39,9 @@
 }
 
 // Whether a header concerns one connection only, or is set anew.
-inline bool is_own_header(std::string_view name) {
-  return std::find(kOwnHeaders.begin(), kOwnHeaders.end(), name) !=
-         kOwnHeaders.end();
+inline bool is_hop_by_hop(std::string_view name) {
+  return std::find(kHopByHopHeaders.begin(), kHopByHopHeaders.end(), name) !=
+         kHopByHopHeaders.end();
 }
 
 }  // namespace bramleyspan::gatewayd::detail
--- a/Services/bramleyspand/Gateway/ForwardingPlaces.cc
+++ b/Services/bramleyspand/Gateway/ForwardingPermits.cc
@@ -18,7 +18,7 @@
 using telemetry::LogLevel;
 
 // Agents that had no place are not asked again at once.
-constexpr Duration kFullPause = std::chrono::milliseconds(12);
+constexpr Duration kFullCooldown = std::chrono::milliseconds(12);
 
 }  // namespace
 
@@ -33,12 +33,12 @@
   for (const auto& forwarding : waiting) {
     const std::pair kind(forwarding->service_name(), forwarding->is_late(now));
     const bool is_sent = !full.contains(kind) && forwarding->TrySend();
-    if (is_sent || forwarding->is_asking()) {
+    if (is_sent || forwarding->is_probing()) {
       continue;
     }
     full.insert(kind);
     if (forwarding->waits_until() <= now) {
-      forwarding->RefuseForLackOfPlace();
+      forwarding->RefuseForLackOfPermit();
     }
   }
 }
@@ -52,7 +52,7 @@
   const auto urgency_of = [now](const Forwarding& forwarding) {
     return gateway::Urgency{.priority = forwarding.priority,
                             .is_late = forwarding.is_late(now),
-                            .is_returning = forwarding.is_returning};
+                            .is_retry = forwarding.is_retry};
   };
   return gateway::is_before(urgency_of(*this), urgency_of(other));
 }
@@ -62,14 +62,14 @@
   const TimePoint now = EventLoop::Now();
   const bool is_first =
       std::none_of(waiting.begin(), waiting.end(), [&](const auto& other) {
-        return other->service == this->service && !other->is_asking() &&
+        return other->service == this->service && !other->is_probing() &&
                !this->is_before(*other, now);
       });
   if (is_first && this->TrySend()) {
     return;
   }
   if (now >= this->wait.ends) {
-    this->RefuseForLackOfPlace();
+    this->RefuseForLackOfPermit();
     return;
   }
   this->Wait(false);
@@ -98,11 +98,11 @@
 }
 
 bool Forwarding::TrySend() {
-  if (this->is_asking_agents) {
+  if (this->is_awaiting_offers) {
     return false;
   }
   if (!this->has_engine()) {
-    return this->TryOwnView();
+    return this->TrySendByLocalView();
   }
   const TimePoint now = EventLoop::Now();
   const bool is_late = this->is_late(now);
@@ -112,73 +112,74 @@
   if (found != full.end() && now < found->second) {
     return false;
   }
-  this->is_asking_agents = this->state.placing->Ask(
+  this->is_awaiting_offers = this->state.permit_requests->Request(
       this->service, this->tried, is_late,
-      [self = this->shared_from_this()](Placing::Verdict verdict,
-                                        const Placing::Place& place) {
-        self->HandlePlacing(verdict, place);
+      [self = this->shared_from_this()](PermitRequests::Verdict verdict,
+                                        const PermitRequests::Permit& permit) {
+        self->HandlePermitDecision(verdict, permit);
       });
-  return !this->is_asking_agents && this->TryOwnView();
+  return !this->is_awaiting_offers && this->TrySendByLocalView();
 }
 
-void Forwarding::SettlePlace() {
-  if (this->place) {
-    this->state.placing->Settle(*this->place);
-    this->place.reset();
+void Forwarding::SettlePermit() {
+  if (this->permit) {
+    this->state.permit_requests->Settle(*this->permit);
+    this->permit.reset();
   }
 }
 
-void Forwarding::HandlePlacing(Placing::Verdict verdict,
-                               const Placing::Place& place) {
-  this->is_asking_agents = false;
-  if (verdict == Placing::Verdict::kPlaced) {
-    this->place = place;
+void Forwarding::HandlePermitDecision(PermitRequests::Verdict verdict,
+                                      const PermitRequests::Permit& permit) {
+  this->is_awaiting_offers = false;
+  if (verdict == PermitRequests::Verdict::kGranted) {
+    this->permit = permit;
   }
   if (this->is_finished) {
-    this->SettlePlace();
+    this->SettlePermit();
     return;
   }
-  const auto found = this->state.targets.by_id.find(place.target);
-  const bool is_placed = verdict == Placing::Verdict::kPlaced &&
-                         found != this->state.targets.by_id.end() &&
-                         !found->second.target.is_leaving &&
-                         !found->second.is_replaced;
-  if (is_placed) {
+  const auto found = this->state.targets.by_id.find(permit.target);
+  const bool is_granted = verdict == PermitRequests::Verdict::kGranted &&
+                          found != this->state.targets.by_id.end() &&
+                          !found->second.target.is_leaving &&
+                          !found->second.is_replaced;
+  if (is_granted) {
     this->state.waiting.remove(this->shared_from_this());
     this->SendTo(found->second);
     ServeWaiting(this->state);
     return;
   }
-  this->SettlePlace();
-  if (verdict == Placing::Verdict::kUnanswered && this->TryOwnView()) {
+  this->SettlePermit();
+  if (verdict == PermitRequests::Verdict::kUnanswered &&
+      this->TrySendByLocalView()) {
     return;
   }
   const TimePoint now = EventLoop::Now();
-  if (verdict == Placing::Verdict::kFull) {
+  if (verdict == PermitRequests::Verdict::kFull) {
     // What has no place for a late stream has none for one in time.
-    this->state.full_until[this->service] = now + kFullPause;
+    this->state.full_until[this->service] = now + kFullCooldown;
     if (this->is_late(now)) {
-      this->state.full_for_late_until[this->service] = now + kFullPause;
+      this->state.full_for_late_until[this->service] = now + kFullCooldown;
     }
     Log(LogLevel::kInfo, "forward", "waits",
         {{"request", this->id},
          {"waiting", std::to_string(this->state.waiting.size())}});
   }
   if (now >= this->wait.ends) {
-    this->RefuseForLackOfPlace();
+    this->RefuseForLackOfPermit();
   }
 }
 
 // The choice by what this gateway knows itself: for plain services, and where
 // no agent answers.
-bool Forwarding::TryOwnView() {
+bool Forwarding::TrySendByLocalView() {
   const TimePoint now = EventLoop::Now();
   const TargetView* target = nullptr;
   if (this->has_engine()) {
-    target = gateway::ChoosePlace(this->state.places, this->state.targets,
-                                  this->table->services.at(this->service),
-                                  SharingOf(this->state, now), this->tried,
-                                  this->state.random(), now);
+    target = gateway::ChooseTargetWithPermit(
+        this->state.permits, this->state.targets,
+        this->table->services.at(this->service), SharingOf(this->state, now),
+        this->tried, this->state.random(), now);
   } else {
     target = gateway::ChooseLeastLoaded(this->state.targets, this->service,
                                         this->tried, this->state.settings.zone,
@@ -193,11 +194,11 @@
   return true;
 }
 
-void Forwarding::RefuseForLackOfPlace() {
+void Forwarding::RefuseForLackOfPermit() {
   auto keep_until_return = this->shared_from_this();
   this->state.waiting.remove(keep_until_return);
   if (this->has_started_answer) {
-    this->BreakOff("no place to go on");
+    this->AbortAnswer("no place to go on");
     return;
   }
   if (this->may_have_run && !this->route->is_repeatable()) {
--- a/Services/bramleyspand/Gateway/ForwardingSending.cc
+++ b/Services/bramleyspand/Gateway/ForwardingSending.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-using detail::is_own_header;
-using detail::kStreamSilence;
+using detail::is_hop_by_hop;
+using detail::kStreamEventTimeout;
 using detail::Text;
 using gateway::RouteKind;
 using gateway::TargetView;
@@ -39,7 +39,7 @@
     const bool is_reserved =
         std::find(names.reserved.begin(), names.reserved.end(), name) !=
         names.reserved.end();
-    if (is_own_header(name) || is_reserved || name == names.key ||
+    if (is_hop_by_hop(name) || is_reserved || name == names.key ||
         name == names.tenant || name == names.deadline ||
         name == names.expected_target || name == names.priority ||
         http::has_token(connection_words, name)) {
@@ -71,7 +71,7 @@
   this->answer.reset();
   this->answer_body.clear();
   this->events = {};
-  this->is_passing_events = false;
+  this->is_forwarding_events = false;
   Log(LogLevel::kInfo, "forward", "sent",
       {{"request", this->id},
        {"target", this->target_id},
@@ -107,10 +107,10 @@
   this->call = http::DirectCall::Start(this->state.loop, std::move(outgoing),
                                        std::move(listeners));
   if (this->is_streaming()) {
-    this->ArmSilence(kStreamSilence);
+    this->ArmAttemptTimer(kStreamEventTimeout);
   } else if (this->route->kind == RouteKind::kIdempotent) {
-    this->ArmSilence(std::max<Duration>(this->route->objective * 2,
-                                        (this->deadline - now) * 2 / 5));
+    this->ArmAttemptTimer(std::max<Duration>(this->route->objective * 2,
+                                             (this->deadline - now) * 2 / 5));
   }
 }
 
--- a/Services/bramleyspand/Gateway/GatewayRole.cc
+++ b/Services/bramleyspand/Gateway/GatewayRole.cc
@@ -12,8 +12,8 @@
 #include "Services/bramleyspand/Gateway/GatewayState.h"
 #include "Services/bramleyspand/Gateway/OrderRelay.h"
 #include "Services/bramleyspand/Gateway/Peers.h"
-#include "Services/bramleyspand/Gateway/Placing.h"
-#include "Services/bramleyspand/Gateway/UsageKeeping.h"
+#include "Services/bramleyspand/Gateway/PermitRequests.h"
+#include "Services/bramleyspand/Gateway/UsageRecorder.h"
 #include "Services/bramleyspand/Role.h"
 
 namespace bramleyspan::gatewayd {
@@ -28,25 +28,26 @@
 constexpr Duration kDrainCheckInterval = std::chrono::milliseconds(100);
 // Callers that have not heard of the stop may connect for as long as they
 // keep the directory's answer, some of them three times as long.
-constexpr Duration kLeastDrain = std::chrono::milliseconds(3500);
+constexpr Duration kMinDrainTime = std::chrono::milliseconds(3500);
 constexpr Duration kQuietBeforeStop = std::chrono::milliseconds(700);
 // What is left of the stop bound when all that still runs is ended.
 constexpr Duration kStopReserve = std::chrono::milliseconds(400);
 constexpr Duration kStatusInterval = std::chrono::seconds(5);
-constexpr size_t kMostAddresses = 64;
-constexpr Duration kTellTargetsAfter = std::chrono::milliseconds(2);
+constexpr size_t kMaxAddresses = 64;
+constexpr Duration kTargetsHeartbeatDelay = std::chrono::milliseconds(2);
 
 class GatewayRole : public Role {
  public:
   GatewayRole(EventLoop& loop, const Settings& settings)
       : state(loop, settings),
         peers(this->state),
-        placing(this->state,
-                [this](const std::string& ip, const std::string& bytes) {
-                  this->peers.Send(ip, bytes);
-                }),
+        permit_requests(
+            this->state,
+            [this](const std::string& ip, const std::string& bytes) {
+              this->peers.Send(ip, bytes);
+            }),
         usage(this->state) {
-    this->state.placing = &this->placing;
+    this->state.permit_requests = &this->permit_requests;
     this->state.usage = &this->usage;
   }
 
@@ -65,7 +66,7 @@
     this->state.store = platform::CountCalls(
         this->state.adapter.open_store(this->state.loop, fleet.store),
         [this](std::string_view call, std::string_view outcome, Duration took) {
-          this->NoteStoreCall(call, outcome, took);
+          this->RecordStoreCall(call, outcome, took);
         });
     StartFeeds(
         this->state,
@@ -81,9 +82,9 @@
         TRY(this->Serve(Address{ip, fleet.peer_port}, HandleInternal));
     this->metrics =
         TRY(this->Serve(Address{ip, fleet.metrics_port}, HandleMetrics));
-    this->AdjustForever();
-    this->ServeForever();
-    this->TellStatusForever();
+    this->AdjustPeriodically();
+    this->ServeWaitingPeriodically();
+    this->LogStatusPeriodically();
     return Succeed();
   }
 
@@ -96,7 +97,7 @@
         {{"open", std::to_string(this->state.open.size())}});
     this->callers->StartDrain();
     this->directory->StartDrain();
-    this->peers.TellNow();
+    this->peers.SendHeartbeatsNow();
     this->StopWhenIdle();
   }
 
@@ -172,8 +173,8 @@
     if (request.path == "/v1/news") {
       exchange->Respond(
           200, {{"content-type", "application/msgpack"}},
-          role.peers.SerializeNews(NumberIn(request.query, "table"),
-                                   NumberIn(request.query, "targets")));
+          role.peers.SerializeUpdate(NumberIn(request.query, "table"),
+                                     NumberIn(request.query, "targets")));
     } else if (request.path == "/v1/engine") {
       role.RespondWithEngine(http::FindQueryValue(request.query, "address"),
                              *exchange);
@@ -217,7 +218,7 @@
         const nlohmann::json shape = {
             {"sets", engine.sets},
             {"experts", engine.experts},
-            {"places_per_rank", engine.places_per_rank},
+            {"places_per_rank", engine.expert_slots_per_rank},
             {"spare", engine.spare},
             {"copy_us", gateway::CopyTimeOf(engine).count()},
             {"slots", engine.slots},
@@ -251,7 +252,7 @@
     }
     for (const auto* known :
          membership::LiveEntries(this->state.members, now)) {
-      if (addresses.size() < kMostAddresses) {
+      if (addresses.size() < kMaxAddresses) {
         addresses.push_back(known->member.caller_address);
       }
     }
@@ -260,7 +261,7 @@
     }
     for (const auto& [name, known] : this->state.members.known) {
       if (known.member.is_entry && !known.member.is_leaving &&
-          addresses.size() < kMostAddresses) {
+          addresses.size() < kMaxAddresses) {
         addresses.push_back(known.member.caller_address);
       }
     }
@@ -276,55 +277,57 @@
                               .largest_body = bounds.body_bytes,
                               .head_timeout = bounds.header_timeout,
                               .idle_timeout = bounds.idle_timeout});
-    this->peers.TellNow();
+    this->peers.SendHeartbeatsNow();
   }
 
   // Records come in bursts, above all at the start.
   void HandleTargets() {
-    if (std::exchange(this->is_telling_soon, true)) {
+    if (std::exchange(this->is_heartbeat_scheduled, true)) {
       return;
     }
-    this->state.loop.RunAfter(kTellTargetsAfter, [this] {
-      this->is_telling_soon = false;
-      this->peers.TellNow();
+    this->state.loop.RunAfter(kTargetsHeartbeatDelay, [this] {
+      this->is_heartbeat_scheduled = false;
+      this->peers.SendHeartbeatsNow();
     });
   }
 
-  void AdjustForever() {
+  void AdjustPeriodically() {
     if (this->state.table != nullptr) {
       for (const auto& [name, service] : this->state.table->services) {
         if (service.engine) {
-          gateway::AdjustLimits(this->state.places, this->state.targets,
+          gateway::AdjustLimits(this->state.permits, this->state.targets,
                                 service, this->ShortestPause(name));
         }
       }
     }
     ServeWaiting(this->state);
     this->state.loop.RunAfter(kAdjustInterval,
-                              [this] { this->AdjustForever(); });
+                              [this] { this->AdjustPeriodically(); });
   }
 
-  // Places come free with time too, not only as streams end.
-  void ServeForever() {
+  // Permits come free with time too, not only as streams end.
+  void ServeWaitingPeriodically() {
     if (!this->state.waiting.empty()) {
       ServeWaiting(this->state);
     }
-    this->state.loop.RunAfter(kServeInterval, [this] { this->ServeForever(); });
+    this->state.loop.RunAfter(kServeInterval,
+                              [this] { this->ServeWaitingPeriodically(); });
   }
 
   // The strictest pause that a route of the service allows.
   Duration ShortestPause(const std::string& service) const {
-    constexpr Duration kUsual = std::chrono::milliseconds(120);
+    constexpr Duration kDefaultLongestPause = std::chrono::milliseconds(120);
     Duration shortest = Duration::max();
     for (const auto& [host, routes] : this->state.table->hosts) {
       for (const auto& route : routes) {
-        const bool is_its = route->split.front().service == service;
-        if (is_its && route->longest_pause > Duration(0)) {
+        const bool is_route_of_service =
+            route->split.front().service == service;
+        if (is_route_of_service && route->longest_pause > Duration(0)) {
           shortest = std::min(shortest, route->longest_pause);
         }
       }
     }
-    return shortest == Duration::max() ? kUsual : shortest;
+    return shortest == Duration::max() ? kDefaultLongestPause : shortest;
   }
 
   void StopWhenIdle() {
@@ -334,7 +337,7 @@
     const bool is_idle = this->state.open.empty() &&
                          now - this->state.last_request > kQuietBeforeStop;
     const bool is_over = since > bound;
-    const bool may_stop = is_idle && since > kLeastDrain;
+    const bool may_stop = is_idle && since > kMinDrainTime;
     if ((may_stop && this->is_usage_written) || is_over) {
       Log(LogLevel::kInfo, "drain", "drain_ended",
           {{"open", std::to_string(this->state.open.size())}});
@@ -351,18 +354,18 @@
   // What was counted since the last write would be missing from the bill. A
   // store that does not answer holds the stop up for a moment only.
   void WriteUsageOnce() {
-    constexpr Duration kLongestLastWrite = std::chrono::milliseconds(250);
+    constexpr Duration kMaxLastWriteTime = std::chrono::milliseconds(250);
     if (std::exchange(this->is_writing_usage, true)) {
       return;
     }
-    this->state.loop.RunAfter(kLongestLastWrite,
+    this->state.loop.RunAfter(kMaxLastWriteTime,
                               [this] { this->is_usage_written = true; });
     this->usage.Write([this] { this->is_usage_written = true; });
   }
 
-  void NoteStoreCall(std::string_view call,
-                     std::string_view outcome,
-                     Duration took) {
+  void RecordStoreCall(std::string_view call,
+                       std::string_view outcome,
+                       Duration took) {
     ++this->store_calls[std::string(call)];
     telemetry::Count(kStoreCalls, {{"call", std::string(call)},
                                    {"outcome", std::string(outcome)}});
@@ -387,8 +390,9 @@
           kFeedAge, {{"feed", name}},
           std::chrono::duration<double>(feed->age(now)).count());
     }
-    for (const auto& [name, group] : this->state.places.groups) {
-      telemetry::SetGauge(kGroupLimit, {{"group", name}}, group.per_rank);
+    for (const auto& [name, group] : this->state.permits.groups) {
+      telemetry::SetGauge(kGroupLimit, {{"group", name}},
+                          group.streams_per_rank);
     }
   }
 
@@ -418,14 +422,14 @@
         dump["targets"][id]["rank"] = {
             {"agent_ip", view.rank->agent_ip},
             {"epoch", view.rank->epoch},
-            {"heard_ms", (now - view.rank->heard).count() / 1000},
+            {"heard_ms", (now - view.rank->received_at).count() / 1000},
             {"rank", view.rank->rank}};
       }
     }
-    for (const auto& [name, group] : this->state.places.groups) {
+    for (const auto& [name, group] : this->state.permits.groups) {
       dump["groups"][name] = {
-          {"per_rank", group.per_rank},
-          {"usual_pause_ms", group.usual_pause.count() / 1000}};
+          {"per_rank", group.streams_per_rank},
+          {"usual_pause_ms", group.pause_quantile.count() / 1000}};
     }
     for (const auto& [name, known] : this->state.members.known) {
       dump["members"][name] = {{"ip", known.member.ip},
@@ -437,11 +441,12 @@
     return dump;
   }
 
-  void TellStatusForever() {
+  void LogStatusPeriodically() {
     const TimePoint now = EventLoop::Now();
     nlohmann::json groups;
-    for (const auto& [name, group] : this->state.places.groups) {
-      groups[name] = {group.per_rank, group.usual_pause.count() / 1000};
+    for (const auto& [name, group] : this->state.permits.groups) {
+      groups[name] = {group.streams_per_rank,
+                      group.pause_quantile.count() / 1000};
     }
     Log(LogLevel::kInfo, "main", "status",
         {{"open", std::to_string(this->state.open.size())},
@@ -450,13 +455,13 @@
          {"groups", groups.dump()},
          {"store_calls", nlohmann::json(this->store_calls).dump()}});
     this->state.loop.RunAfter(kStatusInterval,
-                              [this] { this->TellStatusForever(); });
+                              [this] { this->LogStatusPeriodically(); });
   }
 
   GatewayState state;
   Peers peers;
-  Placing placing;
-  UsageKeeping usage;
+  PermitRequests permit_requests;
+  UsageRecorder usage;
   std::unique_ptr<http::Ingress> callers;
   std::unique_ptr<http::Ingress> directory;
   std::unique_ptr<http::Ingress> readiness;
@@ -465,7 +470,7 @@
   TimePoint drain_began;
   // Calls of the store by name, since the start.
   std::map<std::string, uint64_t> store_calls;
-  bool is_telling_soon = false;
+  bool is_heartbeat_scheduled = false;
   bool is_writing_usage = false;
   bool is_usage_written = false;
 };
--- a/Services/bramleyspand/Gateway/GatewayState.h
+++ b/Services/bramleyspand/Gateway/GatewayState.h
@@ -10,7 +10,7 @@
 
 #include "Kernel/Digest.h"
 #include "LibGateway/Adapter.h"
-#include "LibGateway/Places.h"
+#include "LibGateway/Permits.h"
 #include "LibGateway/RepeatBudget.h"
 #include "LibGateway/RouteTable.h"
 #include "LibGateway/Targets.h"
@@ -23,8 +23,8 @@
 namespace bramleyspan::gatewayd {
 
 class Forwarding;
-class Placing;
-class UsageKeeping;
+class PermitRequests;
+class UsageRecorder;
 
 struct GatewayState {
   GatewayState(EventLoop& loop, const Settings& settings)
@@ -37,26 +37,26 @@
   std::unique_ptr<platform::PrefixFeed> table_feed;
   std::unique_ptr<platform::PrefixFeed> targets_feed;
   // Whether this gateway's watches are short enough to notice silence soon.
-  bool is_watching_closely = true;
+  bool is_active_watcher = true;
 
   // Null until a desired state is known.
   std::shared_ptr<const gateway::RouteTable> table;
   gateway::TargetTable targets;
-  gateway::Places places;
+  gateway::Permits permits;
   gateway::RepeatBudget repeats;
   membership::Members members;
   uint64_t incarnation = 0;
 
   // Null until the gateway can ask agents.
-  Placing* placing = nullptr;
+  PermitRequests* permit_requests = nullptr;
   // Null until the gateway can count.
-  UsageKeeping* usage = nullptr;
+  UsageRecorder* usage = nullptr;
   // Services whose ranks had no place a moment ago are not asked until then.
   std::map<std::string, TimePoint> full_until;
   // The same for streams that are late in any case.
   std::map<std::string, TimePoint> full_for_late_until;
   // By route.
-  std::map<std::string, gateway::Patience> patience;
+  std::map<std::string, gateway::WaitBudget> wait_budgets;
   // Requests that wait for a place, the next one first.
   std::list<std::shared_ptr<Forwarding>> waiting;
   std::map<uint64_t, Forwarding*> open;
--- a/Services/bramleyspand/Gateway/MemberRecords.cc
+++ b/Services/bramleyspand/Gateway/MemberRecords.cc
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr std::string_view kPrefix = "bramleyspan/members/";
-constexpr Duration kShortestInterval = std::chrono::seconds(3);
-constexpr int kMostTimesLonger = 5;
+constexpr Duration kMinInterval = std::chrono::seconds(3);
+constexpr int kMaxIntervalFactor = 5;
 // Renewals that may fail in a row before the record ends.
 constexpr int kIntervalsPerLease = 3;
 
@@ -20,14 +20,14 @@
 
 void MemberRecords::Start() {
   this->ReadAll();
-  this->KeepOwn();
+  this->MaintainOwnRecord();
 }
 
 Duration MemberRecords::Interval() const {
   const size_t gateways =
       membership::CountEntries(this->state.members, EventLoop::Now());
-  const auto times = static_cast<int>(gateways / membership::kAllPeers);
-  return kShortestInterval * std::clamp(times, 1, kMostTimesLonger);
+  const auto factor = static_cast<int>(gateways / membership::kAllPeers);
+  return kMinInterval * std::clamp(factor, 1, kMaxIntervalFactor);
 }
 
 void MemberRecords::ReadAll() {
@@ -47,27 +47,28 @@
       });
 }
 
-void MemberRecords::KeepOwn() {
-  this->state.loop.RunAfter(this->Interval(), [this] { this->KeepOwn(); });
-  if (std::exchange(this->is_keeping, true)) {
+void MemberRecords::MaintainOwnRecord() {
+  this->state.loop.RunAfter(this->Interval(),
+                            [this] { this->MaintainOwnRecord(); });
+  if (std::exchange(this->is_lease_call_open, true)) {
     return;
   }
   if (this->lease == 0) {
     // It holds also where the fleet grows before the next renewal.
     this->state.store.grant_lease(
-        kIntervalsPerLease * kMostTimesLonger * kShortestInterval,
+        kIntervalsPerLease * kMaxIntervalFactor * kMinInterval,
         [this](const Result<uint64_t>& granted) {
-          this->is_keeping = false;
+          this->is_lease_call_open = false;
           if (granted.has_value()) {
             this->lease = granted.value();
-            this->PutOwn();
+            this->WriteOwnRecord();
           }
         });
     return;
   }
   this->state.store.renew_lease(
       this->lease, [this](const Result<void>& renewed) {
-        this->is_keeping = false;
+        this->is_lease_call_open = false;
         const bool is_ended =
             renewed.has_error() && renewed.error().code == ErrorCode::kNotFound;
         if (is_ended) {
@@ -76,7 +77,7 @@
       });
 }
 
-void MemberRecords::PutOwn() {
+void MemberRecords::WriteOwnRecord() {
   this->state.store.put(
       {.key = std::string(kPrefix) + this->state.settings.name,
        .value = this->state.settings.ip,
--- a/Services/bramleyspand/Gateway/MemberRecords.h
+++ b/Services/bramleyspand/Gateway/MemberRecords.h
@@ -14,15 +14,15 @@
 
  private:
   void ReadAll();
-  void KeepOwn();
-  void PutOwn();
+  void MaintainOwnRecord();
+  void WriteOwnRecord();
   // The more gateways there are the longer: the store's calls are paid for and
   // do not grow with the fleet.
   Duration Interval() const;
 
   GatewayState& state;
   uint64_t lease = 0;
-  bool is_keeping = false;
+  bool is_lease_call_open = false;
 };
 
 }  // namespace bramleyspan::gatewayd
--- a/Services/bramleyspand/Gateway/Peers.cc
+++ b/Services/bramleyspand/Gateway/Peers.cc
@@ -9,7 +9,7 @@
 #include "LibTelemetry/Log.h"
 #include "Services/bramleyspand/Gateway/Feeds.h"
 #include "Services/bramleyspand/Gateway/Forwarding.h"
-#include "Services/bramleyspand/Gateway/Placing.h"
+#include "Services/bramleyspand/Gateway/PermitRequests.h"
 
 namespace bramleyspan::gatewayd {
 
@@ -23,8 +23,8 @@
 // How long a gateway that is behind a peer gives the store to tell it itself.
 constexpr Duration kFetchInterval = std::chrono::milliseconds(150);
 constexpr Duration kFetchTimeout = std::chrono::milliseconds(700);
-constexpr size_t kMostOpenCounts = 64;
-constexpr uint64_t kTurnsPerAgentHeartbeat = 5;
+constexpr size_t kMaxOpenCounts = 64;
+constexpr uint64_t kRoundsPerAgentHeartbeat = 5;
 
 }  // namespace
 
@@ -44,14 +44,14 @@
 void Peers::Tick() {
   const TimePoint now = EventLoop::Now();
   membership::Forget(this->state.members, now);
-  AdjustWatching(this->state, now);
+  AdjustWatches(this->state, now);
   // The settings name their seeds for good, whether they are up or not.
   for (const std::string& ip : this->state.fleet().seeds) {
     if (ip != this->state.settings.ip) {
       membership::AddHint(this->state.members, ip, now);
     }
   }
-  this->Tell();
+  this->SendHeartbeats();
   this->UpdateLoads();
   ServeWaiting(this->state);
   this->state.loop.RunAfter(membership::kHeartbeatInterval,
@@ -62,11 +62,11 @@
   this->datagrams->Send(ip, bytes);
 }
 
-void Peers::TellNow() {
-  this->Tell();
+void Peers::SendHeartbeatsNow() {
+  this->SendHeartbeats();
 }
 
-void Peers::Tell() {
+void Peers::SendHeartbeats() {
   const TimePoint now = EventLoop::Now();
   const MemberT self = this->DescribeSelf();
   membership::wire::HeartbeatT heartbeat;
@@ -78,37 +78,38 @@
   heartbeat.signs = membership::SignsToTell(this->state.members, now);
   const std::string bytes = membership::Encode(std::move(heartbeat));
   for (const std::string& ip :
-       membership::PeersForHeartbeat(this->state.members, this->turn)) {
+       membership::PeersForHeartbeat(this->state.members, this->round)) {
     this->datagrams->Send(ip, bytes);
   }
-  if (this->turn % kTurnsPerAgentHeartbeat == 0) {
-    this->agents.TellAll(self);
+  if (this->round % kRoundsPerAgentHeartbeat == 0) {
+    this->agents.SendToAll(self);
   }
-  ++this->turn;
+  ++this->round;
 }
 
 MemberT Peers::DescribeSelf() {
-  const GatewayState& now = this->state;
+  const GatewayState& own = this->state;
   MemberT self;
-  self.name = now.settings.name;
+  self.name = own.settings.name;
   self.is_entry = true;
-  self.zone = now.settings.zone;
-  self.ip = now.settings.ip;
-  self.incarnation = now.incarnation;
-  self.is_ready = now.table != nullptr;
-  self.is_leaving = now.is_draining;
-  self.caller_address = Format(*now.fleet().callers);
-  self.table_version = now.table == nullptr ? 0 : now.table->version;
-  self.targets_revision = now.targets_feed->newest_revision();
-  self.is_hungry = !now.waiting.empty();
+  self.zone = own.settings.zone;
+  self.ip = own.settings.ip;
+  self.incarnation = own.incarnation;
+  self.is_ready = own.table != nullptr;
+  self.is_leaving = own.is_draining;
+  self.caller_address = Format(*own.fleet().callers);
+  self.table_version = own.table == nullptr ? 0 : own.table->version;
+  self.targets_revision = own.targets_feed->newest_revision();
+  self.is_hungry = !own.waiting.empty();
   self.hears_store =
-      now.table_feed->is_reached() && now.targets_feed->is_reached();
-  for (const auto& [id, view] : now.targets.by_id) {
+      own.table_feed->is_reached() && own.targets_feed->is_reached();
+  for (const auto& [id, view] : own.targets.by_id) {
     // An agent that answers probes knows its rank's load better than these
     // counts, which would fill a heartbeat at every gateway.
-    const bool has_agent = view.rank && EventLoop::Now() - view.rank->heard <
-                                            membership::kSuspectAfter;
-    if (view.open == 0 || has_agent || self.open.size() >= kMostOpenCounts) {
+    const bool has_agent =
+        view.rank &&
+        EventLoop::Now() - view.rank->received_at < membership::kSuspectAfter;
+    if (view.open == 0 || has_agent || self.open.size() >= kMaxOpenCounts) {
       continue;
     }
     auto count = std::make_unique<membership::wire::OpenCountT>();
@@ -124,12 +125,12 @@
                           const membership::wire::MessageT& message) {
   const auto& body = message.body;
   if (const auto* offer = body.AsPlaceOffer()) {
-    this->state.placing->HandleOffer(*offer);
+    this->state.permit_requests->HandleOffer(*offer);
     return;
   }
   if (const auto* summary = body.AsGroupSummary()) {
     if (this->agents.HandleSummary(from_ip, *summary)) {
-      this->agents.TellOne(this->DescribeSelf(), from_ip);
+      this->agents.SendToAgent(this->DescribeSelf(), from_ip);
     }
     return;
   }
@@ -196,7 +197,7 @@
   this->agents.HandleHeartbeat(member);
   if (!was_alive || is_restarted) {
     // An agent that has just started knows neither gateways nor owners.
-    this->agents.TellOne(this->DescribeSelf(), member.ip);
+    this->agents.SendToAgent(this->DescribeSelf(), member.ip);
   }
 }
 
@@ -223,12 +224,11 @@
 // The store may turn this machine away, or its watch may have fallen silent,
 // while a peer knows more.
 void Peers::FetchIfBehind(const MemberT& member) {
-  const GatewayState& now_state = this->state;
-  const uint64_t own_version =
-      now_state.table == nullptr ? 0 : now_state.table->version;
+  const GatewayState& own = this->state;
+  const uint64_t own_version = own.table == nullptr ? 0 : own.table->version;
   const bool is_behind =
       member.table_version > own_version ||
-      member.targets_revision > now_state.targets_feed->newest_revision();
+      member.targets_revision > own.targets_feed->newest_revision();
   const TimePoint now = EventLoop::Now();
   if (!is_behind || this->is_fetching ||
       now - this->last_fetch < kFetchInterval) {
@@ -238,7 +238,7 @@
   this->last_fetch = now;
   const std::string query =
       "/v1/news?table=" + std::to_string(own_version) +
-      "&targets=" + std::to_string(now_state.targets_feed->news_from());
+      "&targets=" + std::to_string(own.targets_feed->news_from());
   http::DirectCall::Fetch(
       this->state.loop,
       {.target = {member.ip, this->state.fleet().peer_port},
@@ -250,19 +250,19 @@
         this->is_fetching = false;
         if (end == http::CallEnd::kWhole && response.status == 200) {
           Log(LogLevel::kInfo, "members", "news_fetched", {{"from", name}});
-          this->HandleNews(response.body);
+          this->HandleUpdate(response.body);
         }
       });
 }
 
-std::string Peers::SerializeNews(uint64_t table_version,
-                                 uint64_t targets_revision) const {
-  json news = {
+std::string Peers::SerializeUpdate(uint64_t table_version,
+                                   uint64_t targets_revision) const {
+  json update = {
       {"targets", json::array()},
       {"targets_complete_to", this->state.targets_feed->complete_to()}};
   for (const auto& [key, item] : this->state.targets_feed->items()) {
     if (item.revision > targets_revision) {
-      news["targets"].push_back(
+      update["targets"].push_back(
           {{"key", key},
            {"value", json::binary({item.value.begin(), item.value.end()})},
            {"revision", item.revision},
@@ -275,22 +275,22 @@
     const auto& items = this->state.table_feed->items();
     const auto found = items.find(this->state.adapter.table_key);
     if (found != items.end()) {
-      news["table"] = json::binary(
+      update["table"] = json::binary(
           {found->second.value.begin(), found->second.value.end()});
-      news["table_revision"] = found->second.revision;
+      update["table_revision"] = found->second.revision;
     }
   }
-  const std::vector<uint8_t> bytes = json::to_msgpack(news);
+  const std::vector<uint8_t> bytes = json::to_msgpack(update);
   return {bytes.begin(), bytes.end()};
 }
 
-void Peers::HandleNews(const std::string& text) {
-  const json news = json::from_msgpack(text, true, false);
-  if (news.is_discarded() || !news.is_object()) {
+void Peers::HandleUpdate(const std::string& text) {
+  const json update = json::from_msgpack(text, true, false);
+  if (update.is_discarded() || !update.is_object()) {
     return;
   }
   try {
-    this->TakeNews(news);
+    this->ApplyUpdate(update);
   } catch (const json::exception& failure) {
     // Whatever answers at a peer's address may be another program by now.
     Log(LogLevel::kError, "members", "news_unreadable",
@@ -298,9 +298,9 @@
   }
 }
 
-void Peers::TakeNews(const json& news) {
+void Peers::ApplyUpdate(const json& update) {
   std::vector<platform::StoreItem> items;
-  for (const json& source : news.value("targets", json::array())) {
+  for (const json& source : update.value("targets", json::array())) {
     const auto& value = source.at("value").get_binary();
     items.push_back({.key = source.at("key").get<std::string>(),
                      .value = {value.begin(), value.end()},
@@ -308,13 +308,13 @@
                      .is_removed = source.at("is_removed").get<bool>()});
   }
   this->state.targets_feed->Merge(
-      items, news.value("targets_complete_to", uint64_t{0}));
-  if (news.contains("table")) {
-    const auto& value = news["table"].get_binary();
+      items, update.value("targets_complete_to", uint64_t{0}));
+  if (update.contains("table")) {
+    const auto& value = update["table"].get_binary();
     this->state.table_feed->Merge(
         {{.key = this->state.adapter.table_key,
           .value = {value.begin(), value.end()},
-          .revision = news.value("table_revision", uint64_t{0})}},
+          .revision = update.value("table_revision", uint64_t{0})}},
         /*complete_to=*/0);
   }
 }
--- a/Services/bramleyspand/Gateway/Peers.h
+++ b/Services/bramleyspand/Gateway/Peers.h
@@ -27,15 +27,15 @@
   void Send(const std::string& ip, const std::string& bytes);
 
   // Tells the others now: something changed that they should not wait for.
-  void TellNow();
+  void SendHeartbeatsNow();
 
   // What a peer fetches that has heard of something newer.
-  std::string SerializeNews(uint64_t table_version,
-                            uint64_t targets_revision) const;
+  std::string SerializeUpdate(uint64_t table_version,
+                              uint64_t targets_revision) const;
 
  private:
   void Tick();
-  void Tell();
+  void SendHeartbeats();
   membership::wire::MemberT DescribeSelf();
   void HandleMessage(const std::string& from_ip,
                      const membership::wire::MessageT& message);
@@ -46,14 +46,14 @@
   void HandleMember(const membership::wire::MemberT& member, bool is_direct);
   void UpdateLoads();
   void FetchIfBehind(const membership::wire::MemberT& member);
-  void HandleNews(const std::string& text);
-  void TakeNews(const nlohmann::json& news);
+  void HandleUpdate(const std::string& text);
+  void ApplyUpdate(const nlohmann::json& update);
 
   GatewayState& state;
   std::unique_ptr<PeerDatagrams> datagrams;
   MemberRecords records;
   RankAgents agents;
-  uint64_t turn = 0;
+  uint64_t round = 0;
   bool is_fetching = false;
   TimePoint last_fetch;
 };
--- a/Services/bramleyspand/Gateway/Placing.cc
+++ b/Services/bramleyspand/Gateway/PermitRequests.cc
@@ -1,4 +1,4 @@
-#include "Services/bramleyspand/Gateway/Placing.h"
+#include "Services/bramleyspand/Gateway/PermitRequests.h"
 
 #include <algorithm>
 #include <utility>
@@ -15,26 +15,27 @@
 
 // An agent answers within two milliseconds unless it is busy or its datagram
 // was lost; those that answer in time are enough.
-constexpr Duration kUsualWait = std::chrono::milliseconds(6);
-constexpr Duration kLongestWait = std::chrono::milliseconds(25);
+constexpr Duration kInitialWait = std::chrono::milliseconds(6);
+constexpr Duration kMaxWait = std::chrono::milliseconds(25);
 // Where no agent answers, requests do not wait for one each time.
-constexpr Duration kSilentPause = std::chrono::milliseconds(300);
+constexpr Duration kUnansweredCooldown = std::chrono::milliseconds(300);
 
 }  // namespace
 
-bool Placing::Ask(const std::string& service,
-                  const std::set<std::string>& excluded,
-                  bool is_late,
-                  OnDecided on_decided) {
+bool PermitRequests::Request(const std::string& service,
+                             const std::set<std::string>& excluded,
+                             bool is_late,
+                             OnDecided on_decided) {
   const TimePoint now = EventLoop::Now();
-  const auto ranks =
-      gateway::PickRanksToAsk(this->state.targets, service, excluded,
-                              gateway::kProbes, this->state.random(), now);
+  const auto ranks = gateway::PickRanksToProbe(
+      this->state.targets, service, excluded, gateway::kProbesPerStream,
+      this->state.random(), now);
   if (ranks.empty()) {
     return false;
   }
-  const auto silent = this->silent_until.find(service);
-  if (silent != this->silent_until.end() && now < silent->second) {
+  const auto unresponsive = this->unanswered_until.find(service);
+  if (unresponsive != this->unanswered_until.end() &&
+      now < unresponsive->second) {
     return false;
   }
   const uint64_t number = ++this->last_number;
@@ -48,42 +49,42 @@
   const std::string bytes = membership::Encode(probe);
   for (const gateway::TargetView* rank : ranks) {
     const std::string agent_ip = gateway::AgentIpOf(*rank);
-    round.asked[Format(rank->target.address)] = {.agent_ip = agent_ip,
-                                                 .target = rank->target.id};
+    round.probed[Format(rank->target.address)] = {.agent_ip = agent_ip,
+                                                  .target = rank->target.id};
     this->send(agent_ip, bytes);
   }
   round.timer = this->state.loop.RunAfter(
-      kUsualWait, [this, number] { this->HandleTimer(number); });
+      kInitialWait, [this, number] { this->HandleTimer(number); });
   return true;
 }
 
-void Placing::HandleOffer(const membership::wire::PlaceOfferT& offer) {
+void PermitRequests::HandleOffer(const membership::wire::PlaceOfferT& offer) {
   const auto found = this->rounds.find(offer.number);
   if (found == this->rounds.end()) {
     return;
   }
   Round& round = found->second;
-  const auto asked = round.asked.find(offer.address);
-  if (asked == round.asked.end()) {
+  const auto probed = round.probed.find(offer.address);
+  if (probed == round.probed.end()) {
     return;
   }
-  const auto view = this->state.targets.by_id.find(asked->second.target);
+  const auto view = this->state.targets.by_id.find(probed->second.target);
   if (view != this->state.targets.by_id.end() && view->second.rank) {
-    view->second.rank->heard = EventLoop::Now();
+    view->second.rank->received_at = EventLoop::Now();
   }
   round.offers.push_back(
-      {.target = asked->second.target,
+      {.target = probed->second.target,
        .is_admitting = offer.is_admitting,
        .is_slow = offer.is_slow,
        .load = offer.load,
        .limit = offer.limit,
        .pass = std::chrono::microseconds(offer.pass_microseconds)});
-  if (round.offers.size() == round.asked.size()) {
+  if (round.offers.size() == round.probed.size()) {
     this->Decide(offer.number);
   }
 }
 
-void Placing::HandleTimer(uint64_t number) {
+void PermitRequests::HandleTimer(uint64_t number) {
   const auto found = this->rounds.find(number);
   if (found == this->rounds.end()) {
     return;
@@ -91,9 +92,9 @@
   Round& round = found->second;
   round.timer = 0;
   const Duration since = EventLoop::Now() - round.began;
-  if (round.offers.empty() && since < kLongestWait) {
+  if (round.offers.empty() && since < kMaxWait) {
     round.timer = this->state.loop.RunAfter(
-        kLongestWait - since, [this, number] { this->HandleTimer(number); });
+        kMaxWait - since, [this, number] { this->HandleTimer(number); });
     return;
   }
   this->Decide(number);
@@ -102,14 +103,14 @@
 // When a group opens, all that waited ask at once, and the first rank to open
 // offered each of them the same empty places: 22 streams of one gateway went
 // there. What other rounds took since this one began counts too.
-void Placing::AddOwnTaken(Round& round) {
+void PermitRequests::CountOwnPermits(Round& round) {
   const TimePoint now = EventLoop::Now();
-  while (!this->taken.empty() && now - this->taken.front().at > kLongestWait) {
+  while (!this->taken.empty() && now - this->taken.front().at > kMaxWait) {
     this->taken.pop_front();
   }
-  for (const Taken& place : this->taken) {
+  for (const TakenPermit& permit : this->taken) {
     for (gateway::Offer& offer : round.offers) {
-      if (place.at >= round.began && offer.target == place.target) {
+      if (permit.at >= round.began && offer.target == permit.target) {
         ++offer.load;
         offer.is_admitting = offer.is_admitting &&
                              static_cast<double>(offer.load) + 1 <= offer.limit;
@@ -118,34 +119,35 @@
   }
 }
 
-void Placing::Decide(uint64_t number) {
+void PermitRequests::Decide(uint64_t number) {
   const auto found = this->rounds.find(number);
   Round round = std::move(found->second);
   this->rounds.erase(found);
   this->state.loop.Cancel(round.timer);
   telemetry::Observe(kProbeTime, {}, EventLoop::Now() - round.began);
   if (round.offers.empty()) {
-    this->silent_until[round.service] = EventLoop::Now() + kSilentPause;
+    this->unanswered_until[round.service] =
+        EventLoop::Now() + kUnansweredCooldown;
     Log(LogLevel::kWarning, "forward", "no_agent_answered",
         {{"probe", std::to_string(number)},
          {"service", round.service},
-         {"asked", std::to_string(round.asked.size())}});
+         {"asked", std::to_string(round.probed.size())}});
     round.on_decided(Verdict::kUnanswered, {});
     return;
   }
-  this->AddOwnTaken(round);
+  this->CountOwnPermits(round);
   const auto chosen = gateway::ChooseOffer(round.offers);
   if (!chosen) {
     round.on_decided(Verdict::kFull, {});
     return;
   }
-  const auto asked = std::find_if(round.asked.begin(), round.asked.end(),
-                                  [&chosen](const auto& item) {
-                                    return item.second.target == chosen->target;
-                                  });
+  const auto probed = std::find_if(
+      round.probed.begin(), round.probed.end(), [&chosen](const auto& item) {
+        return item.second.target == chosen->target;
+      });
   membership::wire::PlaceTakenT taken;
   taken.number = number;
-  this->send(asked->second.agent_ip, membership::Encode(taken));
+  this->send(probed->second.agent_ip, membership::Encode(taken));
   this->taken.push_back({.target = chosen->target, .at = EventLoop::Now()});
   Log(LogLevel::kInfo, "forward", "placed",
       {{"probe", std::to_string(number)},
@@ -153,17 +155,17 @@
        {"load", std::to_string(chosen->load)},
        {"limit", std::to_string(chosen->limit)},
        {"offers", std::to_string(round.offers.size())},
-       {"asked", std::to_string(round.asked.size())}});
-  round.on_decided(Verdict::kPlaced, {.target = chosen->target,
-                                      .agent_ip = asked->second.agent_ip,
-                                      .number = number});
+       {"asked", std::to_string(round.probed.size())}});
+  round.on_decided(Verdict::kGranted, {.target = chosen->target,
+                                       .agent_ip = probed->second.agent_ip,
+                                       .number = number});
 }
 
-void Placing::Settle(const Place& place) {
+void PermitRequests::Settle(const Permit& permit) {
   membership::wire::PlaceTakenT taken;
-  taken.number = place.number;
+  taken.number = permit.number;
   taken.is_settled = true;
-  this->send(place.agent_ip, membership::Encode(taken));
+  this->send(permit.agent_ip, membership::Encode(taken));
 }
 
 }  // namespace bramleyspan::gatewayd
--- a/Services/bramleyspand/Gateway/Placing.h
+++ b/Services/bramleyspand/Gateway/PermitRequests.h
@@ -13,10 +13,10 @@
 
 namespace bramleyspan::gatewayd {
 
-class Placing {
+class PermitRequests {
  public:
   enum class Verdict {
-    kPlaced,
+    kGranted,
     // Agents answered, and none has a place.
     kFull,
     // No agent answered.
@@ -24,37 +24,37 @@
   };
   // A place that was taken. It has to be settled once its stream has begun or
   // is over.
-  struct Place {
+  struct Permit {
     std::string target;
     std::string agent_ip;
     uint64_t number = 0;
   };
-  // The place is given with kPlaced only.
-  using OnDecided = std::function<void(Verdict verdict, const Place& place)>;
+  // The place is given with kGranted only.
+  using OnDecided = std::function<void(Verdict verdict, const Permit& permit)>;
   using SendDatagram =
       std::function<void(const std::string& ip, const std::string& bytes)>;
 
-  Placing(GatewayState& state, SendDatagram send)
+  PermitRequests(GatewayState& state, SendDatagram send)
       : state(state), send(std::move(send)) {}
 
   // Begins a round. False if there is no agent to ask.
-  bool Ask(const std::string& service,
-           const std::set<std::string>& excluded,
-           bool is_late,
-           OnDecided on_decided);
+  bool Request(const std::string& service,
+               const std::set<std::string>& excluded,
+               bool is_late,
+               OnDecided on_decided);
 
-  void Settle(const Place& place);
+  void Settle(const Permit& permit);
 
   void HandleOffer(const membership::wire::PlaceOfferT& offer);
 
  private:
-  struct Asked {
+  struct ProbedRank {
     std::string agent_ip;
     std::string target;
   };
   struct Round {
     // By the address of the rank's server.
-    std::map<std::string, Asked> asked;
+    std::map<std::string, ProbedRank> probed;
     std::vector<gateway::Offer> offers;
     std::string service;
     OnDecided on_decided;
@@ -63,12 +63,12 @@
   };
 
   // A place taken by this gateway a moment ago.
-  struct Taken {
+  struct TakenPermit {
     std::string target;
     TimePoint at;
   };
 
-  void AddOwnTaken(Round& round);
+  void CountOwnPermits(Round& round);
   void HandleTimer(uint64_t number);
   void Decide(uint64_t number);
 
@@ -76,8 +76,8 @@
   SendDatagram send;
   std::map<uint64_t, Round> rounds;
   // Services of whose agents none answered a moment ago.
-  std::map<std::string, TimePoint> silent_until;
-  std::deque<Taken> taken;
+  std::map<std::string, TimePoint> unanswered_until;
+  std::deque<TakenPermit> taken;
   uint64_t last_number = 0;
 };
 
--- a/Services/bramleyspand/Gateway/RankAgents.cc
+++ b/Services/bramleyspand/Gateway/RankAgents.cc
@@ -17,7 +17,7 @@
 
 // Each gateway speaks for itself; another one's word helps where its own way
 // to an agent is cut.
-constexpr size_t kGatewaysToldToAgents = 1;
+constexpr size_t kOtherGatewaysPerHeartbeat = 1;
 
 std::string FormatIp(uint32_t number) {
   const in_addr address{htonl(number)};
@@ -28,21 +28,21 @@
 
 // What an agent needs of a gateway: who and where it is. Agents' links are
 // small.
-std::unique_ptr<MemberT> ForAgents(const MemberT& member) {
-  auto in_short = std::make_unique<MemberT>();
-  in_short->name = member.name;
-  in_short->is_entry = member.is_entry;
-  in_short->ip = member.ip;
-  in_short->incarnation = member.incarnation;
-  in_short->counter = member.counter;
-  return in_short;
+std::unique_ptr<MemberT> TrimForAgents(const MemberT& member) {
+  auto trimmed = std::make_unique<MemberT>();
+  trimmed->name = member.name;
+  trimmed->is_entry = member.is_entry;
+  trimmed->ip = member.ip;
+  trimmed->incarnation = member.incarnation;
+  trimmed->counter = member.counter;
+  return trimmed;
 }
 
 }  // namespace
 
 void RankAgents::HandleHeartbeat(const MemberT& member) {
   const TimePoint now = EventLoop::Now();
-  this->heard[member.ip] = now;
+  this->direct_agents[member.ip] = now;
   const auto* rank = member.rank.get();
   if (rank == nullptr) {
     return;
@@ -54,16 +54,16 @@
                                 .is_open = rank->is_open,
                                 .pace = rank->pace,
                                 .agent_ip = member.ip,
-                                .heard = now};
+                                .received_at = now};
 }
 
 bool RankAgents::HandleSummary(const std::string& from_ip,
                                const membership::wire::GroupSummaryT& summary) {
   const TimePoint now = EventLoop::Now();
-  const auto known = this->heard.find(from_ip);
-  const bool is_new = known == this->heard.end() ||
+  const auto known = this->direct_agents.find(from_ip);
+  const bool is_new = known == this->direct_agents.end() ||
                       now - known->second > membership::kSuspectAfter;
-  this->heard[from_ip] = now;
+  this->direct_agents[from_ip] = now;
   for (const auto& row : summary.rows) {
     const Address server{FormatIp(row.server_ip()), row.server_port()};
     this->ranks[Format(server)] = {.group = summary.group,
@@ -73,28 +73,28 @@
                                    .is_open = row.is_open(),
                                    .pace = row.pace(),
                                    .agent_ip = FormatIp(row.agent_ip()),
-                                   .heard = now};
+                                   .received_at = now};
   }
   return is_new;
 }
 
 void RankAgents::UpdateTargets(TimePoint now) {
   std::erase_if(this->ranks, [now](const auto& item) {
-    return now - item.second.heard > membership::kForgetAfter;
+    return now - item.second.received_at > membership::kForgetAfter;
   });
-  std::erase_if(this->heard, [now](const auto& item) {
+  std::erase_if(this->direct_agents, [now](const auto& item) {
     return now - item.second > membership::kForgetAfter;
   });
   for (auto& [id, view] : this->state.targets.by_id) {
     if (view.is_replaced) {
       continue;
     }
-    const auto told = this->ranks.find(Format(view.target.address));
-    if (told != this->ranks.end() &&
-        (!view.rank || told->second.heard > view.rank->heard)) {
-      view.rank = told->second;
+    const auto reported = this->ranks.find(Format(view.target.address));
+    if (reported != this->ranks.end() &&
+        (!view.rank || reported->second.received_at > view.rank->received_at)) {
+      view.rank = reported->second;
     }
-    if (view.rank && now - view.rank->heard > membership::kSuspectAfter) {
+    if (view.rank && now - view.rank->received_at > membership::kSuspectAfter) {
       view.rank->is_open = true;
     }
   }
@@ -106,7 +106,7 @@
     const gateway::RankView*& known = groups[view.group][view.rank];
     const bool is_newer =
         known == nullptr || known->epoch < view.epoch ||
-        (known->epoch == view.epoch && known->heard < view.heard);
+        (known->epoch == view.epoch && known->received_at < view.received_at);
     if (is_newer) {
       known = &view;
     }
@@ -114,17 +114,18 @@
   return groups;
 }
 
-std::string RankAgents::Describe(const MemberT& self,
-                                 const std::string& ip,
-                                 const std::map<std::string, Ranks>& groups,
-                                 bool is_asking) {
+std::string RankAgents::EncodeHeartbeat(
+    const MemberT& self,
+    const std::string& ip,
+    const std::map<std::string, Ranks>& groups,
+    bool is_asking) {
   membership::wire::HeartbeatT heartbeat;
   heartbeat.is_asking = is_asking;
-  heartbeat.members.push_back(ForAgents(self));
-  for (const MemberT* member :
-       membership::MembersToTell(this->state.members, this->turn,
-                                 kGatewaysToldToAgents, EventLoop::Now())) {
-    heartbeat.members.push_back(ForAgents(*member));
+  heartbeat.members.push_back(TrimForAgents(self));
+  for (const MemberT* member : membership::MembersToTell(
+           this->state.members, this->round, kOtherGatewaysPerHeartbeat,
+           EventLoop::Now())) {
+    heartbeat.members.push_back(TrimForAgents(*member));
   }
   for (const auto& [group, ranks] : groups) {
     for (const auto& [rank, view] : ranks) {
@@ -133,18 +134,18 @@
       }
       const mapswitch::Tree tree{.size = view->size,
                                  .fan_out = this->state.fleet().group_fan_out};
-      for (const uint32_t above :
+      for (const uint32_t ancestor :
            std::set<uint32_t>{0, mapswitch::SuperiorOf(tree, rank)}) {
-        const auto found = ranks.find(above);
+        const auto found = ranks.find(ancestor);
         if (found == ranks.end()) {
           continue;
         }
-        auto place = std::make_unique<membership::wire::RankPlaceT>();
-        place->group = group;
-        place->epoch = found->second->epoch;
-        place->rank = above;
-        place->ip = found->second->agent_ip;
-        heartbeat.ranks.push_back(std::move(place));
+        auto location = std::make_unique<membership::wire::RankPlaceT>();
+        location->group = group;
+        location->epoch = found->second->epoch;
+        location->rank = ancestor;
+        location->ip = found->second->agent_ip;
+        heartbeat.ranks.push_back(std::move(location));
       }
     }
   }
@@ -154,7 +155,7 @@
 // Agents that were not heard of yet are beside their targets. After a loss of
 // power nobody knows anybody, and callers press: waiting until an agent had
 // heard of this gateway from one that its settings name took a second.
-std::set<std::string> RankAgents::SilentAgents(TimePoint now) const {
+std::set<std::string> RankAgents::UnresponsiveAgents(TimePoint now) const {
   std::set<std::string> ips;
   if (this->state.table == nullptr) {
     return ips;
@@ -163,33 +164,34 @@
     const auto service = this->state.table->services.find(view.target.service);
     const bool has_agent = service != this->state.table->services.end() &&
                            service->second.engine && !view.is_replaced;
-    const bool is_silent =
-        !view.rank || now - view.rank->heard > membership::kSuspectAfter;
-    if (has_agent && is_silent) {
+    const bool is_unresponsive =
+        !view.rank || now - view.rank->received_at > membership::kSuspectAfter;
+    if (has_agent && is_unresponsive) {
       ips.insert(gateway::AgentIpOf(view));
     }
   }
   return ips;
 }
 
-void RankAgents::TellAll(const MemberT& self) {
-  ++this->turn;
+void RankAgents::SendToAll(const MemberT& self) {
+  ++this->round;
   const TimePoint now = EventLoop::Now();
   const auto groups = this->RanksByGroup();
-  const std::set<std::string> silent = this->SilentAgents(now);
-  for (const std::string& ip : silent) {
-    this->send(ip, this->Describe(self, ip, groups, /*is_asking=*/true));
+  const std::set<std::string> unresponsive = this->UnresponsiveAgents(now);
+  for (const std::string& ip : unresponsive) {
+    this->send(ip, this->EncodeHeartbeat(self, ip, groups, /*is_asking=*/true));
   }
-  for (const auto& [ip, at] : this->heard) {
-    if (!silent.contains(ip)) {
-      this->send(ip, this->Describe(self, ip, groups, /*is_asking=*/false));
+  for (const auto& [ip, at] : this->direct_agents) {
+    if (!unresponsive.contains(ip)) {
+      this->send(ip,
+                 this->EncodeHeartbeat(self, ip, groups, /*is_asking=*/false));
     }
   }
 }
 
-void RankAgents::TellOne(const MemberT& self, const std::string& ip) {
-  this->send(ip, this->Describe(self, ip, this->RanksByGroup(),
-                                /*is_asking=*/false));
+void RankAgents::SendToAgent(const MemberT& self, const std::string& ip) {
+  this->send(ip, this->EncodeHeartbeat(self, ip, this->RanksByGroup(),
+                                       /*is_asking=*/false));
 }
 
 }  // namespace bramleyspan::gatewayd
--- a/Services/bramleyspand/Gateway/RankAgents.h
+++ b/Services/bramleyspand/Gateway/RankAgents.h
@@ -33,8 +33,9 @@
   bool HandleSummary(const std::string& from_ip,
                      const membership::wire::GroupSummaryT& summary);
 
-  void TellAll(const membership::wire::MemberT& self);
-  void TellOne(const membership::wire::MemberT& self, const std::string& ip);
+  void SendToAll(const membership::wire::MemberT& self);
+  void SendToAgent(const membership::wire::MemberT& self,
+                   const std::string& ip);
 
   // What is known of the ranks, into the targets.
   void UpdateTargets(TimePoint now);
@@ -43,20 +44,20 @@
   using Ranks = std::map<uint32_t, const gateway::RankView*>;
 
   std::map<std::string, Ranks> RanksByGroup() const;
-  std::string Describe(const membership::wire::MemberT& self,
-                       const std::string& ip,
-                       const std::map<std::string, Ranks>& groups,
-                       bool is_asking);
+  std::string EncodeHeartbeat(const membership::wire::MemberT& self,
+                              const std::string& ip,
+                              const std::map<std::string, Ranks>& groups,
+                              bool is_asking);
   // Agents beside targets of whose ranks nothing is heard.
-  std::set<std::string> SilentAgents(TimePoint now) const;
+  std::set<std::string> UnresponsiveAgents(TimePoint now) const;
 
   GatewayState& state;
   Send send;
   // By the address of the rank's server.
   std::map<std::string, gateway::RankView> ranks;
   // Agents that tell this gateway themselves, and when they last did.
-  std::map<std::string, TimePoint> heard;
-  uint64_t turn = 0;
+  std::map<std::string, TimePoint> direct_agents;
+  uint64_t round = 0;
 };
 
 }  // namespace bramleyspan::gatewayd
--- a/Services/bramleyspand/Gateway/UsageKeeping.cc
+++ b/Services/bramleyspand/Gateway/UsageRecorder.cc
@@ -1,4 +1,4 @@
-#include "Services/bramleyspand/Gateway/UsageKeeping.h"
+#include "Services/bramleyspand/Gateway/UsageRecorder.h"
 
 #include <utility>
 #include <vector>
@@ -25,33 +25,34 @@
 
 }  // namespace
 
-void UsageKeeping::Start() {
+void UsageRecorder::Start() {
   const std::string& name = this->state.settings.name;
   this->ledger.agent = name;
   this->ledger.incarnation = this->state.incarnation;
-  this->keeper.process = name;
-  this->keeper.incarnation = this->state.incarnation;
+  this->aggregator.process = name;
+  this->aggregator.incarnation = this->state.incarnation;
   // All gateways start together; their writes should not come together.
   const Duration interval = this->state.fleet().usage_interval;
   const Duration first = Duration(std::uniform_int_distribution<int64_t>(
       interval.count() / 2, interval.count())(this->state.random));
-  this->state.loop.RunAfter(first, [this] { this->WriteForever(); });
+  this->state.loop.RunAfter(first, [this] { this->WritePeriodically(); });
 }
 
-void UsageKeeping::Count(const usage::Cause& cause, const usage::Counts& work) {
+void UsageRecorder::Count(const usage::Cause& cause,
+                          const usage::Counts& work) {
   usage::CountWork(this->ledger, cause, WindowNow(this->ledger), work);
 }
 
-void UsageKeeping::WriteForever() {
+void UsageRecorder::WritePeriodically() {
   if (this->open_writes == 0) {
     this->Write([] {});
   }
-  this->RemoveOld();
+  this->RemoveOldDocuments();
   this->state.loop.RunAfter(this->state.fleet().usage_interval,
-                            [this] { this->WriteForever(); });
+                            [this] { this->WritePeriodically(); });
 }
 
-void UsageKeeping::Write(std::function<void()> on_done) {
+void UsageRecorder::Write(std::function<void()> on_done) {
   if (this->open_writes > 0) {
     // What was counted since those writes began is to be written too.
     this->on_all_written = [this, on_done = std::move(on_done)] {
@@ -59,8 +60,8 @@
     };
     return;
   }
-  usage::TakeReport(this->keeper, this->ledger.rows);
-  const auto writes = usage::DueWrites(this->keeper);
+  usage::TakeReport(this->aggregator, this->ledger.rows);
+  const auto writes = usage::DueWrites(this->aggregator);
   if (writes.empty()) {
     on_done();
     return;
@@ -72,14 +73,14 @@
   }
 }
 
-void UsageKeeping::WriteOne(const DocumentWrite& write) {
+void UsageRecorder::WriteOne(const DocumentWrite& write) {
   this->documents.Write(
       write.key, write.text, [this, write](const Result<void>& written) {
         telemetry::Count(
             kUsageWrites,
             {{"outcome", written.has_value() ? "done" : "failed"}});
         if (written.has_value()) {
-          usage::HandleWritten(this->keeper, write);
+          usage::HandleWritten(this->aggregator, write);
           usage::HandleStored(this->ledger, write.rows,
                               WindowNow(this->ledger));
         }
@@ -98,11 +99,11 @@
       });
 }
 
-void UsageKeeping::HandleWriteEnd() {
+void UsageRecorder::HandleWriteEnd() {
   if (--this->open_writes > 0) {
     return;
   }
-  if (usage::ForgetWindows(this->keeper, WindowNow(this->ledger))) {
+  if (usage::ForgetWindows(this->aggregator, WindowNow(this->ledger))) {
     this->documents.ForgetAll();
   }
   std::exchange(this->on_all_written, [] {})();
@@ -110,7 +111,7 @@
 
 // Keys begin with the window's number, so that the oldest lie on the first
 // page. Whichever gateway comes first removes them.
-void UsageKeeping::RemoveOld() {
+void UsageRecorder::RemoveOldDocuments() {
   const TimePoint now = EventLoop::Now();
   if (this->removed_at != TimePoint{} &&
       now - this->removed_at < kRemovalInterval) {
@@ -142,7 +143,7 @@
       });
 }
 
-std::string UsageKeeping::Serialize() const {
+std::string UsageRecorder::Serialize() const {
   return usage::SerializeDocument(this->ledger.rows);
 }
 
--- a/Services/bramleyspand/Gateway/UsageKeeping.h
+++ b/Services/bramleyspand/Gateway/UsageRecorder.h
@@ -13,9 +13,9 @@
 
 namespace bramleyspan::gatewayd {
 
-class UsageKeeping {
+class UsageRecorder {
  public:
-  explicit UsageKeeping(GatewayState& state)
+  explicit UsageRecorder(GatewayState& state)
       : state(state), documents(this->state.store) {}
 
   // The state's store must be open.
@@ -33,15 +33,15 @@
   std::string Serialize() const;
 
  private:
-  void WriteForever();
+  void WritePeriodically();
   void WriteOne(const usage::DocumentWrite& write);
   void HandleWriteEnd();
-  void RemoveOld();
+  void RemoveOldDocuments();
 
   GatewayState& state;
   platform::OwnDocuments documents;
   usage::Ledger ledger;
-  usage::Keeper keeper;
+  usage::Keeper aggregator;
   size_t open_writes = 0;
   std::function<void()> on_all_written;
   TimePoint removed_at;
--- a/Tests/LibGateway/TestEventsAndRepeats.cc
+++ b/Tests/LibGateway/TestEventsAndRepeats.cc
@@ -18,17 +18,17 @@
       "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: ha";
   for (size_t step = 1; step <= stream.size(); ++step) {
     EventReader reader;
-    std::string passed;
+    std::string forwarded;
     std::vector<uint64_t> ids;
     for (size_t at = 0; at < stream.size(); at += step) {
       reader.Read(std::string_view(stream).substr(at, step),
                   [&](const StreamEvent& event) {
-                    passed += event.bytes;
+                    forwarded += event.bytes;
                     ids.push_back(event.id.value_or(0));
                   });
     }
     CHECK(ids == std::vector<uint64_t>{1, 2});
-    CHECK(passed == stream.substr(0, stream.find("id: 3")));
+    CHECK(forwarded == stream.substr(0, stream.find("id: 3")));
     CHECK(reader.has_partial_event());
   }
 }
@@ -53,7 +53,7 @@
   int taken = 0;
   for (RepeatBudget& budget : gateways) {
     for (int i = 0; i < 100; ++i) {
-      NoteRequest(budget, "invoices", kStart + std::chrono::milliseconds(i));
+      RecordRequest(budget, "invoices", kStart + std::chrono::milliseconds(i));
       if (TakeRepeat(budget, "invoices", kGateways,
                      kStart + std::chrono::milliseconds(i))) {
         ++taken;
--- a/Tests/LibGateway/TestOffers.cc
+++ b/Tests/LibGateway/TestOffers.cc
@@ -19,7 +19,7 @@
     table.by_id[id].rank = RankView{.group = rank < 8 ? "a" : "b",
                                     .rank = rank % 8,
                                     .size = 8,
-                                    .heard = kStart};
+                                    .received_at = kStart};
   }
   return table;
 }
@@ -31,7 +31,7 @@
   for (uint64_t bits = 1; bits < 20; ++bits) {
     size_t in_first = 0;
     const auto ranks =
-        PickRanksToAsk(table, "models", {}, 6, bits * 7919, kStart);
+        PickRanksToProbe(table, "models", {}, 6, bits * 7919, kStart);
     for (const TargetView* rank : ranks) {
       in_first += rank->rank->group == "a" ? 1 : 0;
     }
@@ -45,12 +45,12 @@
   for (auto& [id, view] : table.by_id) {
     view.target.is_leaving = id != "r1" && id != "r2" && id != "r3";
   }
-  table.by_id["r2"].rank->heard = kStart - std::chrono::seconds(2);
+  table.by_id["r2"].rank->received_at = kStart - std::chrono::seconds(2);
   table.by_id["r3"].avoided_until = kStart + std::chrono::seconds(1);
-  const auto ranks = PickRanksToAsk(table, "models", {}, 6, 1, kStart);
+  const auto ranks = PickRanksToProbe(table, "models", {}, 6, 1, kStart);
   REQUIRE(ranks.size() == 1);
   CHECK(ranks.front()->target.id == "r1");
-  CHECK(PickRanksToAsk(table, "models", {"r1"}, 6, 1, kStart).empty());
+  CHECK(PickRanksToProbe(table, "models", {"r1"}, 6, 1, kStart).empty());
 }
 
 // Story: after a loss of power a gateway knew all targets from the store and no
@@ -61,7 +61,7 @@
   for (auto& [id, view] : table.by_id) {
     view.rank.reset();
   }
-  const auto ranks = PickRanksToAsk(table, "models", {}, 6, 1, kStart);
+  const auto ranks = PickRanksToProbe(table, "models", {}, 6, 1, kStart);
   REQUIRE(ranks.size() == 6);
   CHECK(AgentIpOf(*ranks.front()) == ranks.front()->target.address.ip);
 }
--- a/Tests/LibGateway/TestPlaces.cc
+++ b/Tests/LibGateway/TestPermits.cc
@@ -1,6 +1,6 @@
 #include <doctest/doctest.h>
 
-#include "LibGateway/Places.h"
+#include "LibGateway/Permits.h"
 
 namespace bramleyspan::gateway {
 
@@ -28,10 +28,10 @@
 }
 
 // Starts streams until there is no place; returns how many.
-uint32_t Fill(Places& places, TargetTable& table, const Sharing& sharing) {
+uint32_t Fill(Permits& permits, TargetTable& table, const Sharing& sharing) {
   for (uint32_t started = 0;; ++started) {
-    const TargetView* found = ChoosePlace(places, table, EngineService(),
-                                          sharing, {}, started, kStart);
+    const TargetView* found = ChooseTargetWithPermit(
+        permits, table, EngineService(), sharing, {}, started, kStart);
     if (found == nullptr) {
       return started;
     }
@@ -39,38 +39,38 @@
   }
 }
 
-void Adjust(Places& places,
+void Adjust(Permits& permits,
             const TargetTable& table,
             Duration pause,
             int times) {
   for (int i = 0; i < times; ++i) {
     for (int sample = 0; sample < 20; ++sample) {
-      NotePause(places, "g", pause, kLongestPause, kStart);
+      RecordPause(permits, "g", pause, kLongestPause, kStart);
     }
-    AdjustLimits(places, table, EngineService(), kLongestPause);
+    AdjustLimits(permits, table, EngineService(), kLongestPause);
   }
 }
 
 }  // namespace
 
 TEST_CASE("A gateway takes its share, and all of it when it is alone") {
-  Places places;
+  Permits permits;
   TargetTable table = GroupOfRanks(8);
   SUBCASE("alone") {
-    CHECK(Fill(places, table, {.gateways = 1}) == 40);
+    CHECK(Fill(permits, table, {.gateways = 1}) == 40);
   }
   SUBCASE("one of four that all want more") {
     for (auto& [id, view] : table.by_id) {
       view.open_elsewhere = 4;
     }
-    CHECK(Fill(places, table, {.gateways = 4, .hungry_others = 3}) >= 8);
+    CHECK(Fill(permits, table, {.gateways = 4, .others_waiting = 3}) >= 8);
   }
 }
 
 TEST_CASE("Streams are spread evenly over the ranks of a group") {
-  Places places;
+  Permits permits;
   TargetTable table = GroupOfRanks(8);
-  Fill(places, table, {});
+  Fill(permits, table, {});
   for (const auto& [id, view] : table.by_id) {
     CHECK(view.open >= 4);
     CHECK(view.open <= 6);
@@ -80,13 +80,13 @@
 // Story: groups filled and emptied by turns. Every gateway sent its next
 // stream to the group and the rank that had been the emptiest a heartbeat ago.
 TEST_CASE("Gateways that know the same do not all choose the same rank") {
-  Places places;
+  Permits permits;
   const TargetTable table = GroupOfRanks(8);
   std::set<std::string> chosen;
   for (uint64_t bits = 1; bits < 40; ++bits) {
-    chosen.insert(
-        ChoosePlace(places, table, EngineService(), {}, {}, bits * 7919, kStart)
-            ->target.id);
+    chosen.insert(ChooseTargetWithPermit(permits, table, EngineService(), {},
+                                         {}, bits * 7919, kStart)
+                      ->target.id);
   }
   CHECK(chosen.size() == 8);
 }
@@ -95,53 +95,54 @@
 // could hold. The first gateway to hear of one rank had set the whole group's
 // limit by it.
 TEST_CASE("A rank that becomes known brings its places") {
-  Places places;
+  Permits permits;
   TargetTable one = GroupOfRanks(1);
-  CHECK(Fill(places, one, {}) == 5);
+  CHECK(Fill(permits, one, {}) == 5);
   TargetTable all = GroupOfRanks(8);
-  CHECK(Fill(places, all, {}) == 40);
+  CHECK(Fill(permits, all, {}) == 40);
 }
 
 // Story: with twelve streams a rank every pass took longer than a pause may
 // last, and each stream of the day was late.
 TEST_CASE("Long pauses lower the limit, short ones raise it where it is used") {
-  Places places;
+  Permits permits;
   TargetTable table = GroupOfRanks(8);
-  Fill(places, table, {});
-  const double before = places.groups["g"].per_rank;
-  Adjust(places, table, std::chrono::milliseconds(200), 5);
-  const double lowered = places.groups["g"].per_rank;
+  Fill(permits, table, {});
+  const double before = permits.groups["g"].streams_per_rank;
+  Adjust(permits, table, std::chrono::milliseconds(200), 5);
+  const double lowered = permits.groups["g"].streams_per_rank;
   CHECK(lowered < before);
-  Adjust(places, table, std::chrono::milliseconds(50), 5);
-  CHECK(places.groups["g"].per_rank > lowered);
+  Adjust(permits, table, std::chrono::milliseconds(50), 5);
+  CHECK(permits.groups["g"].streams_per_rank > lowered);
 }
 
 TEST_CASE("Short pauses of an idle group raise nothing") {
-  Places places;
+  Permits permits;
   TargetTable table = GroupOfRanks(8);
-  ChoosePlace(places, table, EngineService(), {}, {}, 1, kStart);
-  Adjust(places, table, std::chrono::milliseconds(20), 50);
-  CHECK(places.groups["g"].per_rank == doctest::Approx(5));
+  ChooseTargetWithPermit(permits, table, EngineService(), {}, {}, 1, kStart);
+  Adjust(permits, table, std::chrono::milliseconds(20), 50);
+  CHECK(permits.groups["g"].streams_per_rank == doctest::Approx(5));
 }
 
 TEST_CASE("A group that is being formed gets nothing") {
-  Places places;
+  Permits permits;
   TargetTable table = GroupOfRanks(8);
   table.by_id["r3"].rank->is_open = false;
-  CHECK(Fill(places, table, {}) == 0);
+  CHECK(Fill(permits, table, {}) == 0);
 }
 
 // Story: what was in demand jumped, passes took 150 ms, and all streams of the
 // group were late; the prompts that came in that second had made it worse.
 TEST_CASE("A group whose pauses grow too long gets nothing for a moment") {
-  Places places;
+  Permits permits;
   TargetTable table = GroupOfRanks(8);
   const auto is_open_at = [&](Duration after) {
-    return ChoosePlace(places, table, EngineService(), {}, {}, 1,
-                       kStart + after) != nullptr;
+    return ChooseTargetWithPermit(permits, table, EngineService(), {}, {}, 1,
+                                  kStart + after) != nullptr;
   };
   CHECK(is_open_at(Duration(0)));
-  NotePause(places, "g", std::chrono::milliseconds(118), kLongestPause, kStart);
+  RecordPause(permits, "g", std::chrono::milliseconds(118), kLongestPause,
+              kStart);
   CHECK_FALSE(is_open_at(std::chrono::milliseconds(50)));
   CHECK(is_open_at(std::chrono::milliseconds(150)));
 }
@@ -150,20 +151,21 @@
 // 6 ms and refused. The group was being formed, which takes 600 ms, and no
 // agent had told of it yet.
 TEST_CASE("After a refusal by a rank its group gets nothing for a moment") {
-  Places places;
+  Permits permits;
   const TargetTable table = GroupOfRanks(8);
-  NoteRefusal(places, "g", kStart);
-  CHECK(ChoosePlace(places, table, EngineService(), {}, {}, 1, kStart) ==
+  RecordRefusal(permits, "g", kStart);
+  CHECK(ChooseTargetWithPermit(permits, table, EngineService(), {}, {}, 1,
+                               kStart) == nullptr);
+  CHECK(ChooseTargetWithPermit(permits, table, EngineService(), {}, {}, 1,
+                               kStart + std::chrono::milliseconds(200)) !=
         nullptr);
-  CHECK(ChoosePlace(places, table, EngineService(), {}, {}, 1,
-                    kStart + std::chrono::milliseconds(200)) != nullptr);
 }
 
 TEST_CASE("A slow rank gets fewer streams") {
-  Places places;
+  Permits permits;
   TargetTable table = GroupOfRanks(8);
   table.by_id["r3"].rank->pace = 7;
-  Fill(places, table, {});
+  Fill(permits, table, {});
   CHECK(table.by_id["r3"].open <= 1);
 }
 
--- a/Tests/LibGateway/TestTargets.cc
+++ b/Tests/LibGateway/TestTargets.cc
@@ -48,7 +48,7 @@
     "A target that was misdirected gets nothing until it is listed anew") {
   TargetTable table;
   ApplyTarget(table, TargetOf("a", 80, 1));
-  NoteOutcome(table, "a", Outcome::kMisdirected, kStart);
+  RecordOutcome(table, "a", Outcome::kMisdirected, kStart);
   CHECK(Usable(table).empty());
   ApplyTarget(table, TargetOf("a", 80, 2));
   CHECK(Usable(table) == std::set<std::string>{"a"});
@@ -71,7 +71,7 @@
   TargetTable table;
   ApplyTarget(table, TargetOf("a", 80, 1));
   ApplyTarget(table, TargetOf("b", 81, 1));
-  NoteOutcome(table, "a", Outcome::kFailed, kStart);
+  RecordOutcome(table, "a", Outcome::kFailed, kStart);
   for (uint64_t bits = 0; bits < 20; ++bits) {
     CHECK(ChooseLeastLoaded(table, "invoices", {}, "north", bits, kStart)
               ->target.id == "b");
@@ -86,7 +86,7 @@
 TEST_CASE("An unreachable target comes last but is not ruled out") {
   TargetTable table;
   ApplyTarget(table, TargetOf("a", 80, 1));
-  NoteOutcome(table, "a", Outcome::kUnreachable, kStart);
+  RecordOutcome(table, "a", Outcome::kUnreachable, kStart);
   CHECK(
       ChooseLeastLoaded(table, "invoices", {}, "north", 1, kStart)->target.id ==
       "a");
--- a/Tests/LibGateway/TestWaiting.cc
+++ b/Tests/LibGateway/TestWaiting.cc
@@ -11,28 +11,28 @@
 
 const TimePoint kStart{seconds(100)};
 
-WaitLimits Stream(bool is_returning) {
+WaitLimits Stream(bool is_retry) {
   return {.is_streaming = true,
-          .is_returning = is_returning,
+          .is_retry = is_retry,
           .objective = milliseconds(500),
           .allowed = seconds(8),
-          .silence = seconds(2)};
+          .event_timeout = seconds(2)};
 }
 
 }  // namespace
 
 // Failure: callers refused while a group was down return and are taken for new.
 TEST_CASE("A caller that has waited before is told from a new one") {
-  Patience patience;
-  CHECK_FALSE(NotePatience(patience, milliseconds(7400), kStart));
-  CHECK_FALSE(NotePatience(patience, milliseconds(8000), kStart));
-  CHECK_FALSE(NotePatience(patience, milliseconds(6800), kStart));
-  CHECK(NotePatience(patience, milliseconds(5200), kStart));
+  WaitBudget budget;
+  CHECK_FALSE(RecordWaitBudget(budget, milliseconds(7400), kStart));
+  CHECK_FALSE(RecordWaitBudget(budget, milliseconds(8000), kStart));
+  CHECK_FALSE(RecordWaitBudget(budget, milliseconds(6800), kStart));
+  CHECK(RecordWaitBudget(budget, milliseconds(5200), kStart));
   SUBCASE("by what callers say now, not by what they said a while ago") {
     const TimePoint later = kStart + seconds(61);
-    CHECK_FALSE(NotePatience(patience, milliseconds(2500), later));
-    CHECK_FALSE(NotePatience(patience, milliseconds(2300), later));
-    CHECK(NotePatience(patience, milliseconds(1500), later));
+    CHECK_FALSE(RecordWaitBudget(budget, milliseconds(2500), later));
+    CHECK_FALSE(RecordWaitBudget(budget, milliseconds(2300), later));
+    CHECK(RecordWaitBudget(budget, milliseconds(1500), later));
   }
 }
 
@@ -55,27 +55,28 @@
 TEST_CASE("Urgent ones go first, then those in time, then those turned away") {
   const Urgency urgent{.priority = 0, .is_late = true};
   const Urgency in_time{.priority = 1};
-  const Urgency returning{.priority = 1, .is_late = true, .is_returning = true};
+  const Urgency retried{.priority = 1, .is_late = true, .is_retry = true};
   const Urgency late{.priority = 1, .is_late = true};
   CHECK(is_before(urgent, in_time));
-  CHECK(is_before(in_time, returning));
-  CHECK(is_before(returning, late));
-  CHECK_FALSE(is_before(late, returning));
+  CHECK(is_before(in_time, retried));
+  CHECK(is_before(retried, late));
+  CHECK_FALSE(is_before(late, retried));
   CHECK_FALSE(is_before(in_time, in_time));
 }
 
 TEST_CASE("A refused caller returns with enough time for a second try") {
-  CHECK(ReturnAfter(Obstacle::kNoPlace, milliseconds(6600)) ==
+  CHECK(RetryDelayFor(RefusalReason::kNoPermit, milliseconds(6600)) ==
         milliseconds(2200));
-  CHECK(ReturnAfter(Obstacle::kNoPlace, milliseconds(30)) == milliseconds(100));
+  CHECK(RetryDelayFor(RefusalReason::kNoPermit, milliseconds(30)) ==
+        milliseconds(100));
 }
 
 TEST_CASE("A refused caller returns once what stood in its way may be over") {
   constexpr Duration kLeft = seconds(6);
-  CHECK(ReturnAfter(Obstacle::kStoreAway, kLeft) == seconds(2));
-  CHECK(ReturnAfter(Obstacle::kStarting, kLeft) == milliseconds(500));
-  CHECK(ReturnAfter(Obstacle::kRejected, kLeft) == milliseconds(200));
-  CHECK(ReturnAfter(Obstacle::kStarting, milliseconds(900)) ==
+  CHECK(RetryDelayFor(RefusalReason::kStoreUnavailable, kLeft) == seconds(2));
+  CHECK(RetryDelayFor(RefusalReason::kStarting, kLeft) == milliseconds(500));
+  CHECK(RetryDelayFor(RefusalReason::kRejected, kLeft) == milliseconds(200));
+  CHECK(RetryDelayFor(RefusalReason::kStarting, milliseconds(900)) ==
         milliseconds(300));
 }
 
