--- a/Libraries/LibGateway/EventReader.cc
+++ b/Libraries/LibGateway/EventReader.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-// The value of the event's last `id` line.
+// Returns the number in the event's last `id` line that has one.
 std::optional<uint64_t> FindId(std::string_view event) {
   std::optional<uint64_t> id;
   while (!event.empty()) {
@@ -31,7 +31,8 @@
   return id;
 }
 
-// The number of bytes up to and including the first blank line; 0 if none.
+// Returns the number of bytes up to and including the first blank line; 0 if
+// there is none.
 size_t FindEventEnd(std::string_view bytes) {
   const size_t lf = bytes.find("\n\n");
   const size_t crlf = bytes.find("\r\n\r\n");
--- a/Libraries/LibGateway/EventReader.h
+++ b/Libraries/LibGateway/EventReader.h
@@ -1,6 +1,6 @@
-// Cuts a stream's bytes into whole events. A server may stop in the middle of
-// an event; only whole ones are passed on, so that another server's run can go
-// on after the last of them.
+// Splits the bytes of a server-sent event stream into complete events. A server
+// may stop in the middle of an event; since only complete events are forwarded,
+// another server can resume the stream after the last of them.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace bramleyspan::gateway {
 
-// One whole event with the blank line that ends it.
+// One complete event, including the blank line that ends it.
 struct StreamEvent {
   std::string bytes;
   std::optional<uint64_t> id;
@@ -19,11 +19,12 @@
 
 class EventReader {
  public:
-  // Takes bytes and hands over the events that they complete, in order.
+  // Appends bytes and calls `on_event` for each event that they complete, in
+  // order.
   void Read(std::string_view bytes,
             const std::function<void(const StreamEvent&)>& on_event);
 
-  // Whether bytes of an unfinished event are held.
+  // Whether bytes of an incomplete event are buffered.
   bool has_partial_event() const { return !this->partial.empty(); }
 
  private:
--- a/Libraries/LibGateway/Offers.cc
+++ b/Libraries/LibGateway/Offers.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-// An agent that has said nothing for so long is not asked.
+// An agent that has sent nothing for longer is not probed.
 constexpr Duration kUnresponsiveAfter = std::chrono::milliseconds(800);
 
 double UtilizationOf(const Offer& offer) {
--- a/Libraries/LibGateway/Offers.h
+++ b/Libraries/LibGateway/Offers.h
@@ -1,6 +1,6 @@
-// Which rank gets a stream, by what the agents of a few ranks offer. Few
-// probes with fresh answers balance better than many views that are a heartbeat
-// old (power of d choices, Mitzenmacher 2001).
+// Chooses the rank of a stream by the offers of a few ranks' agents. A few
+// probes with fresh answers balance better than a view of all ranks that is a
+// heartbeat old (power of d choices, Mitzenmacher 2001).
 #pragma once
 
 #include <cstdint>
@@ -13,25 +13,30 @@
 
 namespace bramleyspan::gateway {
 
-// Agents asked for one stream.
+// Agents that are probed for one stream.
 inline constexpr size_t kProbesPerStream = 6;
 
-// What the agent beside a rank says about a place for one more stream.
+// An agent's answer to a probe: whether its rank admits one more stream.
 struct Offer {
   std::string target;
   bool is_admitting = false;
-  // All streams of the rank's group are late for a while.
+  // Every stream of the rank's group is late at present, because one of its
+  // ranks is slow.
   bool is_slow = false;
+  // Streams at the rank, and how many may run there at once.
   uint32_t load = 0;
   double limit = 0;
+  // Duration of a pass at present; zero if nothing runs.
   Duration pass{};
 };
 
-// Where the agent of a target is: on the target's own VM, or where it said.
+// Returns the IP address of a target's agent: the one that the agent reported,
+// else the target's own VM.
 std::string AgentIpOf(const TargetView& view);
 
-// Up to `count` ranks of the service whose agents can be asked, drawn at random
-// and from each group alike. Those that were not heard of yet are a group too.
+// Returns up to `count` ranks of the service to probe, drawn at random and in
+// equal numbers from each group. Ranks whose group is not known yet count as
+// one group. Avoided ranks and ranks of unresponsive agents are left out.
 std::vector<const TargetView*> PickRanksToProbe(
     const TargetTable& targets,
     std::string_view service,
@@ -40,9 +45,10 @@
     uint64_t random_bits,
     TimePoint now);
 
-// The offer that has the most room for its limit; nothing if none admits. A
-// slow group, which takes only streams that are late in any case, goes first:
-// they would be late at the others' cost elsewhere.
+// Returns the admitting offer with the lowest utilization; nothing if none
+// admits. An offer of a slow group comes first: such a group admits only
+// streams that are late in any case, and these would make other streams late in
+// another group.
 std::optional<Offer> ChooseOffer(const std::vector<Offer>& offers);
 
 }  // namespace bramleyspan::gateway
--- a/Libraries/LibGateway/Permits.cc
+++ b/Libraries/LibGateway/Permits.cc
@@ -9,30 +9,32 @@
 
 namespace {
 
-// Streams a rank runs at once before anything is known of its passes.
+// Streams per rank before any passes have been observed.
 constexpr double kInitialStreamsPerRank = 5;
 constexpr double kMinStreamsPerRank = 2;
-// The part of the longest pause at which a usual pass is held, so that the
-// unusual ones stay under it too.
+// The fraction of the longest pause at which the pause quantile is held, so
+// that longer pauses stay within the limit too.
 constexpr double kDesiredPauseFraction = 0.85;
-// The pause that nine in ten do not exceed stands for the usual pass.
+// The quantile of the pauses that the limit is adjusted by: 9 of 10 pauses are
+// no longer.
 constexpr double kPauseQuantile = 0.9;
 constexpr size_t kMinPauseSamples = 12;
 constexpr size_t kMaxPauseSamples = 4096;
 constexpr double kMaxAdjustmentFactor = 1.04;
 constexpr double kMinAdjustmentFactor = 0.9;
 constexpr double kGain = 0.25;
-// Gateways that each keep to their share may exceed the limit by this factor
-// while others give back what they had borrowed.
-// A pause of this part of the longest one keeps new streams away for a moment.
+// A pause of at least this percentage of the longest one stops new streams to
+// the group for kOverloadCooldown.
 constexpr int kOverloadPausePercent = 85;
-constexpr Duration kRefusalCooldown = std::chrono::milliseconds(150);
+constexpr Duration kRejectionCooldown = std::chrono::milliseconds(150);
 constexpr Duration kOverloadCooldown = std::chrono::milliseconds(100);
+// Gateways that each stay within their share may together exceed the limit by
+// this factor while others end streams beyond their own share.
 constexpr double kOvercommitFactor = 1.1;
-// The random part of a stream's weight.
+// Upper bound of the random part of a rank's cost, in streams.
 constexpr double kJitter = 1.0;
-// The limit is raised only where it is used: an idle group's short passes say
-// nothing of a full one's.
+// A limit is raised only if at least this fraction of it is used: the short
+// passes of an idle group do not show how long those of a full group are.
 constexpr double kMinUsedFraction = 0.75;
 
 struct GroupLoad {
@@ -74,17 +76,19 @@
   const auto total = static_cast<double>(load.total);
   const double limit = LimitOf(group, load.ranks);
   const double share = limit / static_cast<double>(sharing.gateways);
-  // Shares are fractions of a stream; what is left over goes to whoever sees
-  // it free.
+  // Shares are fractions of a stream; what remains of the limit may be used by
+  // any gateway that sees it unused.
   if (own + 1 <= share) {
     return total + 1 <= limit * kOvercommitFactor;
   }
-  // Beyond the share: what the others leave, less one place for each of them
-  // that wants one too and has not yet told that it took it.
+  // Beyond its share, a gateway may use what the others leave, less one permit
+  // for each other gateway with waiting requests: it may have started a stream
+  // that it has not reported yet.
   return total + 1 + static_cast<double>(sharing.others_waiting) <= limit;
 }
 
-// Draws a group that has a place by the room it has; empty if none has.
+// Draws a group that has a permit left, weighted by the square of its unused
+// permits. Returns an empty name if there is none.
 std::string DrawGroup(Permits& permits,
                       const GroupLoads& loads,
                       const Sharing& sharing,
@@ -97,7 +101,7 @@
     const GroupPermits& group = PermitsOf(permits, name);
     const bool is_cooling_down =
         now - group.overloaded_at < kOverloadCooldown ||
-        now - group.refused_at < kRefusalCooldown;
+        now - group.rejected_at < kRejectionCooldown;
     if (!load.is_open || is_cooling_down || !has_permit(group, load, sharing)) {
       continue;
     }
@@ -172,8 +176,10 @@
   }
 }
 
-void RecordRefusal(Permits& permits, const std::string& group, TimePoint now) {
-  permits.groups[group].refused_at = now;
+void RecordRejection(Permits& permits,
+                     const std::string& group,
+                     TimePoint now) {
+  permits.groups[group].rejected_at = now;
 }
 
 void AdjustLimits(Permits& permits,
--- a/Libraries/LibGateway/Permits.h
+++ b/Libraries/LibGateway/Permits.h
@@ -1,10 +1,12 @@
-// How many streams run at once in a group of ranks. All ranks of a group
-// advance together, so that each further stream makes every pass longer; past
-// a point every stream is late. What has no place waits at the gateway, where
-// it costs no rank anything and can be refused while the caller has time left.
+// Limits how many streams run at once in a group of ranks, with one permit for
+// each. All ranks of a group run each pass in lock-step, so that each further
+// stream makes every pass longer; beyond a limit every stream is late. A
+// request without a permit waits at the gateway, where it loads no rank and can
+// be refused while its caller has time left.
 //
-// The group's limit follows the pauses that callers see, which are its passes.
-// Each gateway works the limit out for itself and takes its share of it.
+// The limit of a group follows the pauses between events that callers see,
+// which are as long as its passes. Each gateway computes the limit itself and
+// uses its share of it.
 #pragma once
 
 #include <cstdint>
@@ -19,46 +21,49 @@
 namespace bramleyspan::gateway {
 
 struct GroupPermits {
-  // Streams that may run at once at each rank. Ranks become known one after
-  // the other, so that a limit of the whole group would begin too low.
+  // Streams that may run at once at each rank. The limit is kept per rank
+  // because ranks become known one after the other: a limit for the whole group
+  // would start too low.
   double streams_per_rank = 0;
-  // Pauses seen since the last adjustment.
+  // Pauses between events since the last adjustment.
   std::vector<Duration> pauses;
-  // The longest usual pause lately, for the dump.
+  // The kPauseQuantile quantile of the pauses before the last adjustment; kept
+  // for the dump.
   Duration pause_quantile{};
-  // When a pause was last about as long as may be. What is in demand jumps,
-  // and with a map of the moment before passes take twice as long at once;
-  // each further prompt would make all streams of the group late.
+  // When a pause last came close to the longest that is on time. After a demand
+  // shift the expert map no longer fits, and passes take up to twice as long at
+  // once; each further prompt would then make all streams of the group late.
   TimePoint overloaded_at;
-  // A rank turned a stream away: its group is being formed, or is full beyond
-  // what this gateway knows. Asking the next rank would only use up the
+  // When a rank last rejected a stream: its group is being formed, or is fuller
+  // than this gateway knows. Trying the next rank would only use up the
   // request's attempts.
-  TimePoint refused_at;
+  TimePoint rejected_at;
 };
 
-// Streams that may run at once in a whole group.
+// Returns how many streams may run at once in a group with that many ranks.
 double LimitOf(const GroupPermits& group, uint32_t ranks);
 
 struct Permits {
   std::map<std::string, GroupPermits> groups;
 };
 
-// How a gateway shares the groups with the others.
+// The other gateways that this one shares the permits of all groups with.
 struct Sharing {
-  // Gateways at work, this one among them.
+  // Live gateways, this one included.
   size_t gateways = 1;
-  // Those of the others that have requests waiting.
+  // Other gateways that have requests waiting for a permit.
   size_t others_waiting = 0;
 };
 
-// The group of a target. Targets whose group is not known share one by
-// service.
+// Returns the name of a target's group. Targets whose group is not known form
+// one group per service.
 std::string GroupOf(const TargetView& view);
 
-// The target that runs the next stream; null if no group has a place. Groups
-// are drawn by the room they have, and ranks with a random part of a stream's
-// weight: what a gateway knows of the others is up to a heartbeat old, and the
-// emptiest rank would get the next stream of every one of them.
+// Returns the target for the next stream; null if no group has a permit left.
+// The group is drawn at random, weighted by its unused permits, and the costs
+// of ranks get a random part of up to one stream: a gateway's view of the
+// others is up to a heartbeat old, and without randomness all gateways would
+// choose the same least loaded rank.
 const TargetView* ChooseTargetWithPermit(Permits& permits,
                                          const TargetTable& targets,
                                          const Service& service,
@@ -67,18 +72,18 @@
                                          uint64_t random_bits,
                                          TimePoint now);
 
-// A stream of a group had a pause between events.
+// Records a pause between two events of a stream of the group.
 void RecordPause(Permits& permits,
                  const std::string& group,
                  Duration pause,
                  Duration longest_pause,
                  TimePoint now);
 
-// A rank of a group turned a stream away without running it.
-void RecordRefusal(Permits& permits, const std::string& group, TimePoint now);
+// Records that a rank of the group rejected a stream without running it.
+void RecordRejection(Permits& permits, const std::string& group, TimePoint now);
 
-// Sets the limits by the pauses since the last call. `longest_pause` is what
-// counts as on time.
+// Adjusts the limits by the pauses since the last call. `longest_pause` is the
+// longest pause that is on time.
 void AdjustLimits(Permits& permits,
                   const TargetTable& targets,
                   const Service& service,
--- a/Libraries/LibGateway/RepeatBudget.cc
+++ b/Libraries/LibGateway/RepeatBudget.cc
@@ -4,8 +4,9 @@
 
 namespace {
 
-// Repeats arrive a little later than they are counted here, and other entries
-// may have come since the count of entries was taken.
+// The fraction of the share that is used. Repeats arrive at targets a little
+// later than they are counted here, and further gateways may have started since
+// the others were counted.
 constexpr double kUsableFraction = 0.8;
 
 void DropBefore(std::deque<TimePoint>& times, TimePoint first) {
--- a/Libraries/LibGateway/RepeatBudget.h
+++ b/Libraries/LibGateway/RepeatBudget.h
@@ -1,6 +1,6 @@
-// How often requests may be sent once more. The budget belongs to all entries
-// together, in any span of its window; each entry takes the share that it is
-// sure to have without asking the others.
+// Limits repeats: requests that are sent to a further target after an attempt
+// failed. The budget covers all gateways together over any span of its window;
+// each gateway uses only its own share, without coordination.
 #pragma once
 
 #include <cstdint>
@@ -13,9 +13,9 @@
 namespace bramleyspan::gateway {
 
 struct RepeatBudgetSettings {
-  // Repeats allowed for each request.
+  // Repeats allowed per request.
   double ratio = 0.1;
-  // Repeats allowed besides, by all entries together.
+  // Repeats allowed in addition, for all gateways together.
   double slack = 0;
   Duration window = std::chrono::seconds(10);
 };
@@ -29,12 +29,13 @@
   std::map<std::string, History> services;
 };
 
-// A caller's request for a service has come.
+// Records a request of a caller for the service.
 void RecordRequest(RepeatBudget& budget,
                    const std::string& service,
                    TimePoint now);
 
-// Takes one repeat if this entry's share, one of `entries`, has one left.
+// Takes one repeat from this gateway's share of the budget, which is one of
+// `gateways` shares. Returns false if none is left.
 bool TakeRepeat(RepeatBudget& budget,
                 const std::string& service,
                 size_t gateways,
--- a/Libraries/LibGateway/RouteTable.h
+++ b/Libraries/LibGateway/RouteTable.h
@@ -1,5 +1,5 @@
-// The desired state that an entry serves by: which request goes to which
-// service, who may send it, and how long it may take.
+// The desired state of the gateways: which service a request is sent to, who
+// may send it, and how long it may take.
 #pragma once
 
 #include <cstdint>
@@ -28,15 +28,16 @@
   std::string prefix;
   RouteKind kind = RouteKind::kNonIdempotent;
   Duration timeout = std::chrono::seconds(5);
-  // The time to the answer, or to a stream's first event, that counts fully.
+  // Time until the answer, or a stream's first event, that is on time.
   Duration objective = std::chrono::seconds(1);
-  // The longest pause between a stream's events that is still on time.
+  // The longest pause between two events of a stream that is on time.
   Duration longest_pause{};
-  // A stream's caller leaves after so long without an event.
+  // Longest time between two events of a stream after which its caller
+  // disconnects.
   Duration event_timeout = std::chrono::seconds(2);
   int priority = 0;
   std::vector<SplitPart> split;
-  // Targets to which one request may be sent.
+  // Upper bound of the targets that one request may be sent to.
   int max_targets = 1;
   bool is_public = false;
   bool is_resumable = false;
@@ -48,19 +49,20 @@
   }
 };
 
-// What a service publishes of its engines.
+// The configuration of a service's engines, as the service publishes it.
 struct EngineShape {
   uint32_t slots = 1;
-  // Steps in one pass, and what a step costs.
+  // Steps of one pass; time of a step and of each sequence in it.
   uint32_t stride = 1;
   Duration step{};
   Duration step_per_sequence{};
   double read_tokens_per_second = 1;
   uint32_t chunk = 512;
-  // The expert map's shape; no sets if the engine has no experts.
+  // Shape of the expert map; 0 sets if the engine has no experts.
   uint32_t sets = 0;
   uint32_t experts = 0;
   uint32_t expert_slots_per_rank = 0;
+  // New experts that a rank can take in one set at a time.
   uint32_t spare = 0;
   double expert_megabytes = 0;
   double link_megabits_per_second = 0;
@@ -69,7 +71,8 @@
   uint32_t typical_answer = 1;
 };
 
-// How long a rank takes to copy an expert; zero if that is not known.
+// Returns how long a rank takes to copy one expert's weights; zero if that is
+// not known.
 Duration CopyTimeOf(const EngineShape& engine);
 
 struct Service {
@@ -83,7 +86,7 @@
   std::optional<int> priority;
 };
 
-// What callers may send and how long they may take.
+// Limits on size and time of callers' requests.
 struct CallerLimits {
   size_t header_bytes = 16384;
   size_t body_bytes = 4 << 20;
@@ -93,26 +96,26 @@
 
 struct RouteTable {
   uint64_t version = 0;
-  // By host in lower case; the longest prefix comes first.
+  // By host in lower case; routes with longer prefixes come first.
   std::unordered_map<std::string, std::vector<std::shared_ptr<const Route>>>
       hosts;
   std::map<std::string, Service> services;
   std::unordered_map<std::string, Tenant> tenants_by_key;
-  // Whether requests must show a key.
+  // Whether requests need a key.
   bool has_tenants = false;
   CallerLimits limits;
 };
 
-// Adds a route; call SortRoutes when all are in.
+// Adds a route. Call SortRoutes after the last one.
 void AddRoute(RouteTable& table, Route route);
 void SortRoutes(RouteTable& table);
 
-// The route of a request; none if no prefix fits.
+// Returns the route of a request; null if no prefix matches.
 std::shared_ptr<const Route> FindRoute(const RouteTable& table,
                                        std::string_view host,
                                        std::string_view path);
 
-// Picks a service by weight with a number from 0 to 1.
+// Picks a service by weight; `at` is a number from 0 to 1.
 const std::string& PickService(const Route& route, double at);
 
 }  // namespace bramleyspan::gateway
--- a/Libraries/LibGateway/Targets.cc
+++ b/Libraries/LibGateway/Targets.cc
@@ -8,16 +8,17 @@
 
 namespace {
 
-// A failure counts half after this time.
+// Time in which the weight of a failure halves.
 constexpr Duration kFailureHalfLife = std::chrono::seconds(2);
-// An unreachable target is left alone this long, then tried again.
+// An unreachable target is avoided for this time, then tried again.
 constexpr Duration kAvoidDuration = std::chrono::milliseconds(1500);
-// The load that a recent failure counts as, in parts of all slots.
+// The load that one recent failure counts as, as a fraction of all slots.
 constexpr double kFailureWeight = 0.6;
-// A target in another zone counts as a little more loaded.
+// Additional load of a target in another availability zone, as a fraction of
+// all slots.
 constexpr double kOtherZoneWeight = 0.02;
 constexpr double kJitterWeight = 0.01;
-// Good answers wear failures off.
+// Factor on the failure count after each request that did not fail.
 constexpr double kSuccessDecay = 0.9;
 
 double JitterOf(uint64_t bits, const std::string& id) {
@@ -119,7 +120,7 @@
     cost += kFailureWeight * FailureScore(view, now);
     cost += view.target.zone == own_zone ? 0 : kOtherZoneWeight;
     cost += kJitterWeight * JitterOf(random_bits, view.target.id);
-    // Avoided ones come last but are not ruled out: if all were unreachable a
+    // Avoided targets come last but are not excluded: if all were unreachable a
     // moment ago, one of them may answer again.
     cost += view.avoided_until > now ? 1000 : 0;
     if (best == nullptr || cost < best_cost) {
--- a/Libraries/LibGateway/Targets.h
+++ b/Libraries/LibGateway/Targets.h
@@ -1,4 +1,4 @@
-// The targets that an entry knows, how they fared lately, and the choice among
+// The targets that a gateway knows, their recent failures, and the choice among
 // them.
 #pragma once
 
@@ -27,32 +27,34 @@
   uint64_t revision = 0;
 };
 
-// What an agent says of the rank beside it.
+// State of a rank as its agent or its group's leader reports it.
 struct RankView {
   std::string group;
   uint64_t epoch = 0;
   uint32_t rank = 0;
   uint32_t size = 0;
   bool is_open = true;
-  // How many times as long as usual the rank's work takes.
+  // Factor by which the rank's work takes longer than usual.
   double pace = 1;
-  // The agent that told this; it can be asked for a place.
+  // IP address of the rank's agent, which can be probed for permits.
   std::string agent_ip;
   TimePoint received_at;
 };
 
 struct TargetView {
   Target target;
-  // Requests of this entry that the target has, and of the other entries.
+  // Requests at the target that this gateway and the other gateways sent.
   uint32_t open = 0;
   uint32_t open_elsewhere = 0;
-  // Failures count less as they grow older.
+  // Number of recent failures as of `failures_at`; it decays over time.
   double failures = 0;
   TimePoint failures_at;
-  // Another target has its address now, or said so itself: nothing is sent
-  // there until the platform lists it anew.
+  // The target no longer runs at this address: a newer target is listed there,
+  // or the server answered that it is another one. Nothing is sent there until
+  // the platform lists the target again.
   bool is_replaced = false;
-  // After a connection was refused or timed out, nothing is sent until then.
+  // A connection was refused or timed out: the target is used only as a last
+  // resort until then.
   TimePoint avoided_until;
   std::optional<RankView> rank;
 
@@ -63,35 +65,36 @@
   std::map<std::string, TargetView> by_id;
 };
 
-// Takes what the platform lists; the view of a known target is kept. Targets
-// that were listed before at the same address are replaced by it: all servers
-// of a site that lost power come back at their addresses with new names, while
-// the old names stay listed for seconds.
+// Adds or updates a target that the platform lists; the state of a known target
+// is kept. Older targets at the same address are marked as replaced: after a
+// power outage all servers of a site run again at their old addresses under new
+// names, while the old names stay listed for seconds.
 void ApplyTarget(TargetTable& table, Target target);
 void RemoveTarget(TargetTable& table, const std::string& id);
 
-// How a request at a target ended, for choosing the next one.
+// Outcome of a request at a target, by which the next targets are chosen.
 enum class Outcome { kGood, kFailed, kUnreachable, kMisdirected };
 void RecordOutcome(TargetTable& table,
                    const std::string& id,
                    Outcome outcome,
                    TimePoint now);
 
-// Failures as they count now.
+// Returns the decayed number of failures as of `now`.
 double FailureScore(const TargetView& view, TimePoint now);
 
 // Whether any of a service's ranks is known to be in an open group.
 bool is_any_open(const TargetTable& table, std::string_view service);
 
-// Targets of a service that may get work; `excluded` were tried already.
+// Visits the targets of a service that may be sent requests. `excluded` are the
+// ones that were tried already.
 using TargetVisitor = std::function<void(const TargetView&)>;
 void ForEachUsable(const TargetTable& table,
                    std::string_view service,
                    const std::set<std::string>& excluded,
                    const TargetVisitor& visit);
 
-// The target of a plain service with the least load for its slots, failures
-// counted as load; null if there is none.
+// Returns the target of a service without engine that has the lowest load
+// relative to its slots, with failures counted as load; null if there is none.
 const TargetView* ChooseLeastLoaded(const TargetTable& table,
                                     std::string_view service,
                                     const std::set<std::string>& excluded,
--- a/Libraries/LibGateway/Waiting.cc
+++ b/Libraries/LibGateway/Waiting.cc
@@ -6,20 +6,22 @@
 
 namespace {
 
-// Callers of one route differ by less than this part of their patience.
+// A caller retries if it has less than this fraction of the longest wait budget
+// of its route; new callers of one route differ by less.
 constexpr double kRetryFraction = 0.8;
-// The operator may give a route shorter limits; what was named before is
-// forgotten after this time.
+// The longest wait budget expires after this time, because the operator may
+// give a route shorter limits.
 constexpr Duration kBudgetLifetime = std::chrono::seconds(60);
-// The part of the objective after which the first event of a request without a
-// place will come late.
+// The fraction of the objective, as a divisor, after which the first event of a
+// request without a permit will be late.
 constexpr int kObjectiveDivisor = 2;
 constexpr Duration kMaxWait = std::chrono::milliseconds(500);
-// The part of a caller's patience for which a late stream waits for a place. It
-// is worth less than one in time and more than a refusal.
+// The fraction of the event timeout for which a late stream waits for a permit.
+// A late stream is worth less than one in time and more than a refusal.
 constexpr double kEventTimeoutFraction = 0.7;
-// Streams last for seconds, and a caller that comes back into the same crowd is
-// refused for good. Callers heed no more than this part of their time.
+// The longest retry delay that callers accept, as a divisor of their time left.
+// Streams last for seconds, and a caller that retries too early, while all
+// permits are still in use, is refused for good.
 constexpr int kRetryDivisor = 3;
 constexpr Duration kMinRetryDelay = std::chrono::milliseconds(100);
 constexpr Duration kMaxDelayWhileStarting = std::chrono::milliseconds(500);
--- a/Libraries/LibGateway/Waiting.h
+++ b/Libraries/LibGateway/Waiting.h
@@ -1,80 +1,82 @@
-// Who waits for a place, for how long, in which order, and when those without
-// one are told to come back. Answers load above what the groups take: after a
-// group was down, during a burst, and while a jump of demand makes passes long.
+// Decides how long a request waits for a permit, in which order waiting
+// requests are served, and after what time a refused caller should retry. It
+// handles load above the limits of the groups: after an outage of a group,
+// during a burst, and while a demand shift makes passes long.
 #pragma once
 
 #include "Kernel/Time.h"
 
 namespace bramleyspan::gateway {
 
-// How long a route's callers are ready to wait, learnt from what they say, so
-// that a caller that returns after a refusal is told from a new one: each
-// attempt of a request has an id of its own and names only the time left.
+// The longest wait budget that callers of a route have announced lately. It
+// distinguishes a caller that retries after a refusal from a new one: each
+// attempt has an id of its own and announces only the time left.
 //
-// Failure: callers that were refused while a group was down returned as it
-// opened and were taken for new ones; what could still be in time waited behind
-// them.
+// Failure: callers that were refused while a group was down retried when it
+// opened and were taken for new ones; requests that could still be in time
+// waited behind them.
 struct WaitBudget {
-  // The longest time left that was named lately.
+  // The longest time left that was announced lately, and when.
   Duration longest{};
   TimePoint longest_at;
 };
 
-// Takes the time that a caller has left, no more than its route allows. Returns
-// whether it must have waited before: it has much less left than others of the
-// same route.
+// Records the time that a caller has left, which is no more than its route
+// allows. Returns whether the caller retries, that is, has much less time left
+// than other callers of the route.
 bool RecordWaitBudget(WaitBudget& budget, Duration left, TimePoint now);
 
-// What decides how long a request may wait.
+// Input of PlanWait.
 struct WaitLimits {
   bool is_streaming = false;
-  // Whether the caller has waited before, so that it will not come once more.
+  // Whether the caller retries already, and will not retry again.
   bool is_retry = false;
-  // The time within which the first event is on time.
+  // Time until the first event that is on time.
   Duration objective{};
-  // What is left of the caller's time and the route's.
+  // The smaller of the time that the caller and the route still allow.
   Duration allowed{};
-  // How long a caller listens without an event.
+  // Time without an event after which the caller disconnects.
   Duration event_timeout{};
 };
 
 struct Wait {
-  // From then on the request can no longer be answered in time.
+  // From then on the answer can no longer be on time.
   TimePoint late_from;
-  // Without a place the request is given up then.
+  // The request is refused then if it has no permit.
   TimePoint ends;
 };
 
 Wait PlanWait(const WaitLimits& limits, TimePoint arrived);
 
-// What a waiting request is ordered by. The lower priority is the more urgent.
+// The order of waiting requests. A lower priority is more urgent.
 struct Urgency {
   int priority = 0;
   bool is_late = false;
   bool is_retry = false;
 };
 
-// Whether `left` goes first: the more urgent, then those that can still be in
-// time, then those that were turned away before.
+// Whether `left` is served first: the more urgent one, then one that can still
+// be in time, then one whose caller retries.
 bool is_before(const Urgency& left, const Urgency& right);
 
-// What stands in a refused request's way.
+// Why a request is refused.
 enum class RefusalReason {
-  // All places are taken, or the group is closed.
+  // All permits are in use, or the group is closed.
   kNoPermit,
-  // The target had no slot a moment ago.
+  // The target rejected the request: it had no free slot.
   kRejected,
-  // The desired state is being read.
+  // The gateway is still reading the desired state.
   kStarting,
-  // It can't be read: the store does not answer.
+  // The gateway cannot read the desired state: the store does not answer.
   kStoreUnavailable,
 };
 
-// When a refused caller is told to come back. What may be over in a moment is
-// worth a try then; of anything else most is over as late as callers heed.
+// Returns after what time a refused caller should retry. If the reason may end
+// soon, that is a short time; otherwise it is the longest delay that callers
+// accept, since most other obstacles have ended by then.
 //
-// Failure: callers come back once. After a loss of power those that were told
-// to come back in half a second met a store that was still away.
+// Failure: callers retry only once. After a power outage those that were sent a
+// delay of half a second found the store still unavailable.
 Duration RetryDelayFor(RefusalReason reason, Duration left);
 
 }  // namespace bramleyspan::gateway
--- a/Services/bramleyspand/Gateway/Feeds.cc
+++ b/Services/bramleyspand/Gateway/Feeds.cc
@@ -26,7 +26,7 @@
          {"error", Describe(parsed.error())}});
     return;
   }
-  // The highest version wins: a peer's copy may be older than ours.
+  // The highest version wins: a peer's copy may be older.
   if (state.table != nullptr &&
       parsed.value().version <= state.table->version) {
     return;
@@ -69,11 +69,12 @@
   }
 }
 
-// How long the watches of gateways wait that need not notice silence
-// themselves.
+// Wait of the watches of a passive watcher, which need not notice by itself
+// that the store stopped answering.
 constexpr Duration kPassiveWait = std::chrono::seconds(8);
-// In a large fleet they hear of each change from several peers; a watch that
-// told them too would be a call for each change at each gateway.
+// In a large fleet passive watchers receive each change from several peers. If
+// their watches waited for changes too, each change would cost a store call at
+// each gateway.
 constexpr Duration kLargeFleetWait = std::chrono::milliseconds(20);
 constexpr Duration kLargeFleetPause = std::chrono::seconds(15);
 
--- a/Services/bramleyspand/Gateway/Feeds.h
+++ b/Services/bramleyspand/Gateway/Feeds.h
@@ -1,21 +1,22 @@
-// How a gateway follows the desired state and the targets.
+// Watches the desired state and the targets in the store.
 #pragma once
 
 #include "Services/bramleyspand/Gateway/GatewayState.h"
 
 namespace bramleyspan::gatewayd {
 
-// What changes with a newer desired state.
+// Called for each newer desired state.
 using OnTable = std::function<void(const gateway::RouteTable&)>;
 
-// Begins to follow both. `on_table` comes for each newer desired state,
-// `on_target` for each target that came, changed or went.
+// Starts both feeds. `on_target` is called for each target that is added,
+// changed or removed.
 void StartFeeds(GatewayState& state,
                 OnTable on_table,
                 std::function<void()> on_target);
 
-// A few gateways watch closely, the others hear from them should their own
-// watch be silent. Called with every heartbeat.
+// Sets how long the watches wait. A few gateways, the active watchers, watch
+// the store with short waits; the passive ones receive changes from them if
+// their own watch stops answering. Called with every heartbeat.
 void AdjustWatches(GatewayState& state, TimePoint now);
 
 }  // namespace bramleyspan::gatewayd
--- a/Services/bramleyspand/Gateway/Forwarding.cc
+++ b/Services/bramleyspand/Gateway/Forwarding.cc
@@ -18,19 +18,19 @@
 using detail::kNotFound;
 using detail::kUnauthorized;
 using detail::kUnavailable;
-using detail::Text;
+using detail::ToMillisecondsText;
 using gateway::Outcome;
 using http::CallEnd;
 using http::FindHeader;
 using telemetry::Log;
 using telemetry::LogLevel;
 
-// Connections that may fail before the request is given up.
+// Connections that may fail before the request is refused.
 constexpr int kMaxFailedConnections = 4;
-// Where a caller names no time.
+// Time left of a caller that announces none.
 constexpr Duration kDefaultTimeLeft = std::chrono::seconds(2);
 
-// Requests without a key or a route are counted under this name.
+// Name under which usage without a tenant or a route is counted.
 constexpr std::string_view kUnknownName = "-";
 
 usage::Ending EndingOf(std::string_view outcome) {
@@ -134,7 +134,7 @@
        {"service", this->service},
        {"tenant", this->tenant},
        {"table_version", std::to_string(this->table->version)},
-       {"left_ms", Text(allowed)},
+       {"left_ms", ToMillisecondsText(allowed)},
        {"is_returning", this->is_retry ? "true" : "false"}});
   this->SendOrWait();
 }
@@ -152,7 +152,7 @@
   }
   this->priority = this->route->priority;
   if (!this->is_allowed_by_key()) {
-    this->Refuse(kUnauthorized, "no tenant holds this key", false);
+    this->Refuse(kUnauthorized, "no tenant has this key", false);
     return false;
   }
   return true;
@@ -176,8 +176,8 @@
   if (now + kMinTimeLeft > this->deadline || this->exchange->is_closed()) {
     return false;
   }
-  // Only targets that the request was sent to count against the route's
-  // bound: an unreached one has nothing of it.
+  // Only targets that the request was sent to count towards the route's limit;
+  // a failed connection carried nothing.
   const auto reached =
       static_cast<int>(this->tried.size()) - this->failed_connections;
   if (reached >= this->route->max_targets ||
@@ -289,9 +289,9 @@
        {"outcome", std::string(outcome)},
        {"status", std::to_string(status)},
        {"group", this->group},
-       {"first_event_ms", Text(this->first_event_after)},
-       {"longest_pause_ms", Text(this->longest_pause)},
-       {"took_ms", Text(took)}});
+       {"first_event_ms", ToMillisecondsText(this->first_event_after)},
+       {"longest_pause_ms", ToMillisecondsText(this->longest_pause)},
+       {"took_ms", ToMillisecondsText(took)}});
 }
 
 void Forwarding::CountUsage(std::string_view outcome) const {
@@ -317,7 +317,7 @@
   return has_engine ? found->second.engine->stride : 1;
 }
 
-// The request has nothing at its target any more, whatever came of it.
+// Also called if the request never had a target.
 void Forwarding::ReleaseTarget(Outcome outcome) {
   this->SettlePermit();
   if (this->target_id.empty()) {
@@ -356,13 +356,13 @@
   }
   this->ReleaseTarget(Outcome::kGood);
   if (this->has_started_answer) {
-    this->AbortAnswer("out of time");
+    this->AbortAnswer("deadline exceeded");
   } else if (this->may_have_run) {
     this->target_id = last_target;
-    this->Fail(kGatewayTimeout, "out of time");
+    this->Fail(kGatewayTimeout, "deadline exceeded");
     this->target_id.clear();
   } else {
-    this->Refuse(kUnavailable, "out of time", true);
+    this->Refuse(kUnavailable, "deadline exceeded", true);
   }
 }
 
@@ -379,7 +379,7 @@
       !this->route->is_repeatable()) {
     return;
   }
-  // Only a repeatable request is taken away from a silent target.
+  // Only a repeatable request is moved away from an unresponsive target.
   std::exchange(this->call, nullptr)->Cancel();
   this->HandleFailed(CallEnd::kTimeout);
 }
--- a/Services/bramleyspand/Gateway/Forwarding.h
+++ b/Services/bramleyspand/Gateway/Forwarding.h
@@ -1,5 +1,5 @@
-// One caller's request on its way: found a route, given a place, sent to a
-// target, perhaps sent once more, answered.
+// One request of a caller: finds its route, obtains a permit, sends it to a
+// target, repeats it if necessary, and answers it.
 #pragma once
 
 #include <memory>
@@ -16,12 +16,12 @@
 
 namespace bramleyspan::gatewayd {
 
-// Takes a request from a caller.
+// Handles a caller's request.
 void HandleCaller(GatewayState& state,
                   http::IngressRequest request,
                   const std::shared_ptr<http::IngressExchange>& exchange);
 
-// Gives places to waiting requests and refuses those that waited long enough.
+// Tries to send the waiting requests and refuses those that waited too long.
 void ServeWaiting(GatewayState& state);
 
 class Forwarding : public std::enable_shared_from_this<Forwarding> {
@@ -35,20 +35,20 @@
 
   void Start();
 
-  // Tries to get a place and to send. False if there is none now; the agents
-  // may have been asked for one.
+  // Tries to obtain a permit and to send the request. Returns false if it was
+  // not sent; agents may have been probed for a permit.
   bool TrySend();
 
-  // Whether agents have been asked and have not all answered.
+  // Whether a probe of agents is under way.
   bool is_probing() const { return this->is_awaiting_offers; }
 
-  // There was no place in time.
+  // Refuses the request because no permit was obtained in time.
   void RefuseForLackOfPermit();
 
-  // Before the others, if true.
+  // Whether this request is served before `other`.
   bool is_before(const Forwarding& other, TimePoint now) const;
 
-  // Whether a stream can no longer be in time, wherever it runs.
+  // Whether a stream can no longer be in time, on any target.
   bool is_late(TimePoint now) const;
 
   TimePoint waits_until() const { return this->wait.ends; }
@@ -58,14 +58,15 @@
   }
 
  private:
-  // What an answer is worth once it is whole.
+  // How a complete answer is treated: forwarded, taken as a rejection, or taken
+  // as a failure.
   enum class Verdict { kForward, kRejected, kInvalid };
 
   bool FindRouteAndTenant();
   bool is_allowed_by_key();
   void SendOrWait();
   bool has_engine() const;
-  // Joins those that wait, in front of them or by priority.
+  // Adds the request to the waiting ones, in front of them or by priority.
   void Wait(bool is_in_front);
   bool TrySendByLocalView();
   void HandlePermitDecision(PermitRequests::Verdict verdict,
@@ -83,22 +84,25 @@
   bool is_own_answer(const http::AnswerHead& head) const;
   void HandleRejected();
   void HandleFailed(http::CallEnd end);
+  // Sends the request to a further target. Returns false if the remaining time,
+  // the route or the repeat budget does not allow that.
   bool TryRepeat(std::string_view cause, bool has_reached_target);
   void ForwardAnswer();
   http::HeaderList AnswerHeaders() const;
   void Refuse(int status, std::string_view cause, bool has_retry_after);
-  // Seconds after which the caller is told to come back.
+  // Returns the value of the Retry-After header, in seconds.
   std::string RetryAfter() const;
   gateway::RefusalReason FindRefusalReason() const;
-  // What is left of the caller's time, or of the route's if that is less.
+  // Returns the smaller of the time that the caller and the route still allow.
   Duration TimeLeft() const;
   void Fail(int status, std::string_view cause);
   void AbortAnswer(std::string_view cause);
   void Finish(std::string_view outcome, int status);
-  // Files what the request cost under who caused it.
+  // Counts the usage of the request under its tenant, route and service.
   void CountUsage(std::string_view outcome) const;
-  // Tokens of one of the target's events.
+  // Returns the number of tokens in one event of the target.
   uint64_t TokensPerEvent() const;
+  // Ends the attempt at the present target and records its outcome.
   void ReleaseTarget(gateway::Outcome outcome);
   void HandleCallerGone();
   void HandleDeadline();
@@ -119,7 +123,7 @@
   TimePoint arrived;
   TimePoint deadline;
   gateway::Wait wait;
-  // Whether the caller has waited before, so that it will not come once more.
+  // Whether the caller retries already, and will not retry again.
   bool is_retry = false;
   bool is_awaiting_offers = false;
   std::optional<PermitRequests::Permit> permit;
@@ -133,7 +137,7 @@
   // Targets that the request was sent to, and connections that failed.
   int sent = 0;
   int failed_connections = 0;
-  // Whether some target may have run it.
+  // Whether a target may have run the request.
   bool may_have_run = false;
 
   std::optional<http::AnswerHead> answer;
@@ -142,7 +146,7 @@
   bool has_started_answer = false;
   std::optional<uint64_t> last_event;
   TimePoint last_event_at;
-  // What makes a stream late, for the log.
+  // Time to the first event and longest pause between two, for the log.
   Duration first_event_after{};
   Duration longest_pause{};
   gateway::EventReader events;
--- a/Services/bramleyspand/Gateway/ForwardingAnswers.cc
+++ b/Services/bramleyspand/Gateway/ForwardingAnswers.cc
@@ -1,4 +1,5 @@
-// What comes back from a target: checked, passed on, or taken for a failure.
+// Handles the answer of a target: checks it, forwards it, or treats it as a
+// failure.
 #include <algorithm>
 #include <utility>
 
@@ -22,7 +23,7 @@
 using detail::kStreamEventTimeout;
 using detail::kTooManyRequests;
 using detail::kUnavailable;
-using detail::Text;
+using detail::ToMillisecondsText;
 using gateway::Outcome;
 using http::CallEnd;
 using http::FindHeader;
@@ -64,7 +65,8 @@
   if (this->is_finished) {
     return;
   }
-  // A run that goes on elsewhere may begin with what the caller has.
+  // A run that is resumed at another target may start with events that the
+  // caller already has.
   if (event.id && this->last_event && *event.id <= *this->last_event) {
     return;
   }
@@ -77,7 +79,7 @@
     Log(LogLevel::kInfo, "forward", "first_event",
         {{"request", this->id},
          {"target", this->target_id},
-         {"after_ms", Text(this->first_event_after)}});
+         {"after_ms", ToMillisecondsText(this->first_event_after)}});
   } else {
     const Duration pause = now - this->last_event_at;
     this->longest_pause = std::max(this->longest_pause, pause);
@@ -135,8 +137,8 @@
   }
   const bool has_stamp = !FindHeader(head.headers, names.stamp).empty();
   const bool is_encoded = !FindHeader(head.headers, "content-encoding").empty();
-  // A target's 429 or 503 without the mark may come from a run; passed on, it
-  // would promise the caller that nothing ran.
+  // A 429, 503 or 408 of a target without the not-run header may come after a
+  // run; forwarded, it would tell the caller that nothing ran.
   const bool is_not_run_status = head.status == kTooManyRequests ||
                                  head.status == kUnavailable ||
                                  head.status == kRequestTimeout;
@@ -176,7 +178,7 @@
 }
 
 void Forwarding::HandleRejected() {
-  // It did not run there, and the target says that it never will.
+  // The target did not run the request and never will.
   --this->sent;
   this->may_have_run = this->sent > 0 || this->has_started_answer;
   const bool is_misdirected = this->answer->status == kMisdirected;
@@ -185,7 +187,8 @@
        {"target", this->target_id},
        {"status", std::to_string(this->answer->status)}});
   if (!is_misdirected) {
-    gateway::RecordRefusal(this->state.permits, this->group, EventLoop::Now());
+    gateway::RecordRejection(this->state.permits, this->group,
+                             EventLoop::Now());
   }
   this->ReleaseTarget(is_misdirected ? Outcome::kMisdirected
                                      : Outcome::kFailed);
@@ -193,9 +196,9 @@
     return;
   }
   if (this->has_started_answer) {
-    this->AbortAnswer("rejected when going on");
+    this->AbortAnswer("rejected while resuming the stream");
   } else if (this->may_have_run) {
-    this->Fail(kBadGateway, "rejected, and may have run before");
+    this->Fail(kBadGateway, "rejected, but an earlier attempt may have run");
   } else {
     this->Refuse(kUnavailable, "rejected by the target", true);
   }
@@ -207,7 +210,7 @@
       {{"request", this->id},
        {"target", this->target_id},
        {"end", std::string(http::NameOf(end))},
-       {"after_ms", Text(EventLoop::Now() - this->arrived)}});
+       {"after_ms", ToMillisecondsText(EventLoop::Now() - this->arrived)}});
   this->ReleaseTarget(is_unreachable ? Outcome::kUnreachable
                                      : Outcome::kFailed);
   if (is_unreachable) {
--- a/Services/bramleyspand/Gateway/ForwardingDetail.h
+++ b/Services/bramleyspand/Gateway/ForwardingDetail.h
@@ -1,4 +1,4 @@
-// What the two files of Forwarding share.
+// Constants and helpers that the files of Forwarding share.
 #pragma once
 
 #include <algorithm>
@@ -21,24 +21,25 @@
 inline constexpr int kBadGateway = 502;
 inline constexpr int kUnavailable = 503;
 inline constexpr int kGatewayTimeout = 504;
-// A stream that is silent for so long is looked for elsewhere. Callers leave
-// after two seconds.
+// Time without an event after which a stream is resumed at another target.
+// Callers disconnect after 2 s.
 inline constexpr Duration kStreamEventTimeout = std::chrono::milliseconds(1750);
 
-// Headers that concern one connection only, and those that are set anew.
+// Headers that concern one connection only, and those that the gateway sets
+// itself.
 inline constexpr std::array<std::string_view, 11> kHopByHopHeaders{
     "connection", "keep-alive", "proxy-connection",    "te",
     "trailer",    "upgrade",    "transfer-encoding",   "content-length",
     "expect",     "host",       "proxy-authorization",
 };
 
-// A duration as whole milliseconds, for headers and logs.
-inline std::string Text(Duration time) {
+// Formats a duration as whole milliseconds, for headers and logs.
+inline std::string ToMillisecondsText(Duration time) {
   return std::to_string(
       std::chrono::duration_cast<std::chrono::milliseconds>(time).count());
 }
 
-// Whether a header concerns one connection only, or is set anew.
+// Whether a header is in kHopByHopHeaders.
 inline bool is_hop_by_hop(std::string_view name) {
   return std::find(kHopByHopHeaders.begin(), kHopByHopHeaders.end(), name) !=
          kHopByHopHeaders.end();
--- a/Services/bramleyspand/Gateway/ForwardingPermits.cc
+++ b/Services/bramleyspand/Gateway/ForwardingPermits.cc
@@ -1,4 +1,5 @@
-// Where a request goes, and what it does while there is no place for it.
+// Chooses the target of a request, and lets the request wait while no permit is
+// available.
 #include <algorithm>
 #include <set>
 #include <utility>
@@ -17,7 +18,7 @@
 using telemetry::Log;
 using telemetry::LogLevel;
 
-// Agents that had no place are not asked again at once.
+// Time for which agents are not probed again after none had a permit.
 constexpr Duration kFullCooldown = std::chrono::milliseconds(12);
 
 }  // namespace
@@ -27,7 +28,7 @@
   state.waiting.sort([now](const auto& left, const auto& right) {
     return left->is_before(*right, now);
   });
-  // A copy, since each that is sent or refused leaves the list.
+  // Copied because each request that is sent or refused leaves the list.
   const auto waiting = state.waiting;
   std::set<std::pair<std::string, bool>> full;
   for (const auto& forwarding : waiting) {
@@ -156,7 +157,7 @@
   }
   const TimePoint now = EventLoop::Now();
   if (verdict == PermitRequests::Verdict::kFull) {
-    // What has no place for a late stream has none for one in time.
+    // If there is no permit for a late stream, there is none for one in time.
     this->state.full_until[this->service] = now + kFullCooldown;
     if (this->is_late(now)) {
       this->state.full_for_late_until[this->service] = now + kFullCooldown;
@@ -170,8 +171,8 @@
   }
 }
 
-// The choice by what this gateway knows itself: for plain services, and where
-// no agent answers.
+// Sends by the local view alone: for services without engine, and if no agent
+// answers.
 bool Forwarding::TrySendByLocalView() {
   const TimePoint now = EventLoop::Now();
   const TargetView* target = nullptr;
@@ -198,14 +199,14 @@
   auto keep_until_return = this->shared_from_this();
   this->state.waiting.remove(keep_until_return);
   if (this->has_started_answer) {
-    this->AbortAnswer("no place to go on");
+    this->AbortAnswer("no permit to resume the stream");
     return;
   }
   if (this->may_have_run && !this->route->is_repeatable()) {
-    this->Fail(kBadGateway, "may have run, and no target left");
+    this->Fail(kBadGateway, "may have run, and no target is left");
     return;
   }
-  this->Refuse(kUnavailable, "no place in time", true);
+  this->Refuse(kUnavailable, "no permit in time", true);
 }
 
 }  // namespace bramleyspan::gatewayd
--- a/Services/bramleyspand/Gateway/ForwardingSending.cc
+++ b/Services/bramleyspand/Gateway/ForwardingSending.cc
@@ -1,4 +1,4 @@
-// What goes out to a target.
+// Sends a request to a target.
 #include <algorithm>
 #include <utility>
 
@@ -12,14 +12,14 @@
 
 using detail::is_hop_by_hop;
 using detail::kStreamEventTimeout;
-using detail::Text;
+using detail::ToMillisecondsText;
 using gateway::RouteKind;
 using gateway::TargetView;
 using http::CallEnd;
 using telemetry::Log;
 using telemetry::LogLevel;
 
-// A connection inside a region takes a millisecond or two.
+// Within a region a connection takes 1 to 2 ms.
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(250);
 
 }  // namespace
@@ -56,7 +56,8 @@
   if (!this->tenant.empty()) {
     headers.emplace_back(names.tenant, this->tenant);
   }
-  headers.emplace_back(names.deadline, Text(this->deadline - now));
+  headers.emplace_back(names.deadline,
+                       ToMillisecondsText(this->deadline - now));
   headers.emplace_back(names.expected_target, target.target.id);
   return headers;
 }
@@ -78,10 +79,11 @@
        {"group", this->group},
        {"open", std::to_string(target.open)},
        {"open_elsewhere", std::to_string(target.open_elsewhere)},
-       {"waited_ms", Text(now - this->arrived)},
+       {"waited_ms", ToMillisecondsText(now - this->arrived)},
        {"targets_revision",
         std::to_string(this->state.targets_feed->newest_revision())},
-       {"targets_age_ms", Text(this->state.targets_feed->age(now))},
+       {"targets_age_ms",
+        ToMillisecondsText(this->state.targets_feed->age(now))},
        {"attempt", std::to_string(this->tried.size())}});
   http::DirectRequest outgoing{
       .target = target.target.address,
--- a/Services/bramleyspand/Gateway/GatewayMetrics.h
+++ b/Services/bramleyspand/Gateway/GatewayMetrics.h
@@ -1,4 +1,4 @@
-// Every metric that a gateway exports.
+// All metrics that a gateway exports.
 #pragma once
 
 #include "LibTelemetry/Metrics.h"
--- a/Services/bramleyspand/Gateway/GatewayRole.cc
+++ b/Services/bramleyspand/Gateway/GatewayRole.cc
@@ -1,5 +1,5 @@
-// The role of an entry VM on a platform whose targets have no agent that
-// forwards: it serves callers itself and sends straight to the targets.
+// The role of an entry VM on a platform whose targets have no forwarding agent:
+// the gateway accepts callers and sends requests straight to the targets.
 #include <nlohmann/json.hpp>
 #include <utility>
 
@@ -26,11 +26,11 @@
 constexpr Duration kAdjustInterval = std::chrono::milliseconds(250);
 constexpr Duration kServeInterval = std::chrono::milliseconds(25);
 constexpr Duration kDrainCheckInterval = std::chrono::milliseconds(100);
-// Callers that have not heard of the stop may connect for as long as they
-// keep the directory's answer, some of them three times as long.
+// Callers keep the answer of the directory, some of them three times as long as
+// its lifetime, and may connect until then.
 constexpr Duration kMinDrainTime = std::chrono::milliseconds(3500);
 constexpr Duration kQuietBeforeStop = std::chrono::milliseconds(700);
-// What is left of the stop bound when all that still runs is ended.
+// Time left of the stop bound when all open requests are ended.
 constexpr Duration kStopReserve = std::chrono::milliseconds(400);
 constexpr Duration kStatusInterval = std::chrono::seconds(5);
 constexpr size_t kMaxAddresses = 64;
@@ -204,7 +204,7 @@
                       telemetry::SerializeMetrics());
   }
 
-  // Tells an agent the shape of its engine's expert maps.
+  // Responds with the shape of the expert maps of the agent's engine.
   void RespondWithEngine(const std::string& address,
                          http::IngressExchange& exchange) const {
     for (const auto& [id, view] : this->state.targets.by_id) {
@@ -242,8 +242,9 @@
     return this->state.table != nullptr && !this->state.is_draining;
   }
 
-  // Callers keep an answer and exclude what fails them, so that naming an
-  // entry that may be gone is better than naming nobody.
+  // Returns the addresses that callers may connect to. Callers keep an answer
+  // and exclude an address that fails, so that the address of a gateway that
+  // may be down is better than none.
   std::vector<std::string> AddressesForCallers() const {
     const TimePoint now = EventLoop::Now();
     std::vector<std::string> addresses;
@@ -280,7 +281,8 @@
     this->peers.SendHeartbeatsNow();
   }
 
-  // Records come in bursts, above all at the start.
+  // Target records change in bursts, mostly at the start; one heartbeat reports
+  // them all.
   void HandleTargets() {
     if (std::exchange(this->is_heartbeat_scheduled, true)) {
       return;
@@ -305,7 +307,7 @@
                               [this] { this->AdjustPeriodically(); });
   }
 
-  // Permits come free with time too, not only as streams end.
+  // Permits also become free as time passes, not only when streams end.
   void ServeWaitingPeriodically() {
     if (!this->state.waiting.empty()) {
       ServeWaiting(this->state);
@@ -314,7 +316,8 @@
                               [this] { this->ServeWaitingPeriodically(); });
   }
 
-  // The strictest pause that a route of the service allows.
+  // Returns the shortest of the longest pauses that the routes of the service
+  // allow.
   Duration ShortestPause(const std::string& service) const {
     constexpr Duration kDefaultLongestPause = std::chrono::milliseconds(120);
     Duration shortest = Duration::max();
@@ -351,8 +354,8 @@
                               [this] { this->StopWhenIdle(); });
   }
 
-  // What was counted since the last write would be missing from the bill. A
-  // store that does not answer holds the stop up for a moment only.
+  // Usage counted since the last write would be missing from the bill. A store
+  // that does not answer delays the stop by kMaxLastWriteTime only.
   void WriteUsageOnce() {
     constexpr Duration kMaxLastWriteTime = std::chrono::milliseconds(250);
     if (std::exchange(this->is_writing_usage, true)) {
@@ -468,7 +471,7 @@
   std::unique_ptr<http::Ingress> internal;
   std::unique_ptr<http::Ingress> metrics;
   TimePoint drain_began;
-  // Calls of the store by name, since the start.
+  // Store calls by name since the start.
   std::map<std::string, uint64_t> store_calls;
   bool is_heartbeat_scheduled = false;
   bool is_writing_usage = false;
--- a/Services/bramleyspand/Gateway/GatewayState.h
+++ b/Services/bramleyspand/Gateway/GatewayState.h
@@ -1,4 +1,4 @@
-// What the parts of a gateway share.
+// State that the parts of a gateway share.
 #pragma once
 
 #include <cstdint>
@@ -36,7 +36,8 @@
   platform::Store store;
   std::unique_ptr<platform::PrefixFeed> table_feed;
   std::unique_ptr<platform::PrefixFeed> targets_feed;
-  // Whether this gateway's watches are short enough to notice silence soon.
+  // Whether the watches of this gateway are short enough to notice soon that
+  // the store stopped answering.
   bool is_active_watcher = true;
 
   // Null until a desired state is known.
@@ -47,18 +48,20 @@
   membership::Members members;
   uint64_t incarnation = 0;
 
-  // Null until the gateway can ask agents.
+  // Null until the gateway can probe agents.
   PermitRequests* permit_requests = nullptr;
-  // Null until the gateway can count.
+  // Null until the gateway can count usage.
   UsageRecorder* usage = nullptr;
-  // Services whose ranks had no place a moment ago are not asked until then.
+  // Services are not probed for permits until then, because their ranks had
+  // none.
   std::map<std::string, TimePoint> full_until;
   // The same for streams that are late in any case.
   std::map<std::string, TimePoint> full_for_late_until;
-  // By route.
+  // By name of the route.
   std::map<std::string, gateway::WaitBudget> wait_budgets;
-  // Requests that wait for a place, the next one first.
+  // Requests that wait for a permit, the next one first.
   std::list<std::shared_ptr<Forwarding>> waiting;
+  // Requests that have not ended, by their numbers.
   std::map<uint64_t, Forwarding*> open;
   uint64_t last_forwarding = 0;
   bool is_draining = false;
@@ -69,7 +72,8 @@
   const FleetSettings& fleet() const { return *this->settings.fleet; }
 };
 
-// How this gateway shares what belongs to all.
+// Returns the number of gateways that share the permits of all groups, and how
+// many of the others have waiting requests.
 gateway::Sharing SharingOf(const GatewayState& state, TimePoint now);
 
 }  // namespace bramleyspan::gatewayd
--- a/Services/bramleyspand/Gateway/MemberRecords.cc
+++ b/Services/bramleyspand/Gateway/MemberRecords.cc
@@ -13,7 +13,8 @@
 constexpr std::string_view kPrefix = "bramleyspan/members/";
 constexpr Duration kMinInterval = std::chrono::seconds(3);
 constexpr int kMaxIntervalFactor = 5;
-// Renewals that may fail in a row before the record ends.
+// The lease lasts this many of the longest intervals, so that failed renewals
+// do not end it at once.
 constexpr int kIntervalsPerLease = 3;
 
 }  // namespace
@@ -54,7 +55,8 @@
     return;
   }
   if (this->lease == 0) {
-    // It holds also where the fleet grows before the next renewal.
+    // The lease is long enough for the longest interval, in case the fleet
+    // grows before the next renewal.
     this->state.store.grant_lease(
         kIntervalsPerLease * kMaxIntervalFactor * kMinInterval,
         [this](const Result<uint64_t>& granted) {
--- a/Services/bramleyspand/Gateway/MemberRecords.h
+++ b/Services/bramleyspand/Gateway/MemberRecords.h
@@ -1,5 +1,6 @@
-// The gateways' records in the store. Others learn a new process's address from
-// there when no process that the settings name is up.
+// Maintains the records of gateways in the store. Other gateways read the
+// address of a new process there when no process that their settings name is
+// running.
 #pragma once
 
 #include "Services/bramleyspand/Gateway/GatewayState.h"
@@ -16,8 +17,9 @@
   void ReadAll();
   void MaintainOwnRecord();
   void WriteOwnRecord();
-  // The more gateways there are the longer: the store's calls are paid for and
-  // do not grow with the fleet.
+  // Returns the time between two calls. It grows with the number of gateways,
+  // so that the number of store calls, which are charged, does not grow with
+  // the fleet.
   Duration Interval() const;
 
   GatewayState& state;
--- a/Services/bramleyspand/Gateway/OrderRelay.cc
+++ b/Services/bramleyspand/Gateway/OrderRelay.cc
@@ -16,7 +16,7 @@
 using telemetry::Log;
 using telemetry::LogLevel;
 
-// The agent gives the order itself after a little longer.
+// The agent sends the order directly a little later than this.
 constexpr Duration kRelayTimeout = std::chrono::milliseconds(40);
 
 bool is_known_rank(const GatewayState& state, const std::string& address) {
--- a/Services/bramleyspand/Gateway/OrderRelay.h
+++ b/Services/bramleyspand/Gateway/OrderRelay.h
@@ -1,9 +1,10 @@
-// Passes an agent's order on to a rank's server.
+// Forwards an agent's order to a rank's server.
 //
-// Failure: the machine of the agent that gave the last order freezes. Where
-// that is the holder's own, its server cannot be reached, nobody can let the
-// held group go, and every stream stands still until the machine wakes. An
-// order that comes by way of a gateway leaves no rank's machine as its giver.
+// Failure: the VM of the agent that sent the last order freezes. If the holder
+// of the group is on that VM, its server cannot be reached, no agent can
+// release the held group, and every stream stalls until the VM resumes. An
+// order that is sent through a gateway does not have the VM of a rank as its
+// sender.
 #pragma once
 
 #include <memory>
@@ -13,8 +14,9 @@
 
 namespace bramleyspan::gatewayd {
 
-// Answers as the server at the query's `address` does; 502 where the order may
-// have arrived without an answer, 404 where no such server is known.
+// Sends the request's body to the server at the query's `address` and returns
+// the server's status. Answers 502 if the order may have arrived but was not
+// answered, 404 if no such server is known.
 void RelayOrder(GatewayState& state,
                 const http::IngressRequest& request,
                 const std::shared_ptr<http::IngressExchange>& exchange);
--- a/Services/bramleyspand/Gateway/Peers.cc
+++ b/Services/bramleyspand/Gateway/Peers.cc
@@ -20,7 +20,8 @@
 using telemetry::Log;
 using telemetry::LogLevel;
 
-// How long a gateway that is behind a peer gives the store to tell it itself.
+// Minimum time between fetches from peers. It gives the store time to deliver a
+// change to a gateway that is behind a peer.
 constexpr Duration kFetchInterval = std::chrono::milliseconds(150);
 constexpr Duration kFetchTimeout = std::chrono::milliseconds(700);
 constexpr size_t kMaxOpenCounts = 64;
@@ -45,7 +46,7 @@
   const TimePoint now = EventLoop::Now();
   membership::Forget(this->state.members, now);
   AdjustWatches(this->state, now);
-  // The settings name their seeds for good, whether they are up or not.
+  // Seeds in the settings stay hints for good, whether they are running or not.
   for (const std::string& ip : this->state.fleet().seeds) {
     if (ip != this->state.settings.ip) {
       membership::AddHint(this->state.members, ip, now);
@@ -104,8 +105,8 @@
   self.hears_store =
       own.table_feed->is_reached() && own.targets_feed->is_reached();
   for (const auto& [id, view] : own.targets.by_id) {
-    // An agent that answers probes knows its rank's load better than these
-    // counts, which would fill a heartbeat at every gateway.
+    // The agent of a rank knows its load better than these counts, which would
+    // fill the heartbeats of every gateway.
     const bool has_agent =
         view.rank &&
         EventLoop::Now() - view.rank->received_at < membership::kSuspectAfter;
@@ -196,12 +197,14 @@
   }
   this->agents.HandleHeartbeat(member);
   if (!was_alive || is_restarted) {
-    // An agent that has just started knows neither gateways nor owners.
+    // An agent that has just started knows neither gateways nor the owners of
+    // groups.
     this->agents.SendToAgent(this->DescribeSelf(), member.ip);
   }
 }
 
-// Adds up what the others have at each target, and takes what the agents say.
+// Sums the open requests of the other gateways at each target, and applies the
+// reports of agents.
 void Peers::UpdateLoads() {
   const TimePoint now = EventLoop::Now();
   for (auto& [id, view] : this->state.targets.by_id) {
@@ -221,8 +224,8 @@
   }
 }
 
-// The store may turn this machine away, or its watch may have fallen silent,
-// while a peer knows more.
+// Fetches updates from a peer that knows more: the store may refuse this VM, or
+// its watch may have stopped answering.
 void Peers::FetchIfBehind(const MemberT& member) {
   const GatewayState& own = this->state;
   const uint64_t own_version = own.table == nullptr ? 0 : own.table->version;
@@ -292,7 +295,7 @@
   try {
     this->ApplyUpdate(update);
   } catch (const json::exception& failure) {
-    // Whatever answers at a peer's address may be another program by now.
+    // Another program may answer at a former address of a peer.
     Log(LogLevel::kError, "members", "news_unreadable",
         {{"error", failure.what()}});
   }
--- a/Services/bramleyspand/Gateway/Peers.h
+++ b/Services/bramleyspand/Gateway/Peers.h
@@ -1,4 +1,4 @@
-// What a gateway tells the other processes of the system and hears of them.
+// Exchanges heartbeats and updates with the other processes of the system.
 #pragma once
 
 #include <memory>
@@ -26,10 +26,13 @@
 
   void Send(const std::string& ip, const std::string& bytes);
 
-  // Tells the others now: something changed that they should not wait for.
+  // Sends heartbeats at once, after a change that others should receive without
+  // delay.
   void SendHeartbeatsNow();
 
-  // What a peer fetches that has heard of something newer.
+  // Returns the body of /v1/news, which a peer fetches that received a newer
+  // version or revision: the desired state if it is newer than `table_version`,
+  // and the targets that changed after `targets_revision`.
   std::string SerializeUpdate(uint64_t table_version,
                               uint64_t targets_revision) const;
 
@@ -53,6 +56,7 @@
   std::unique_ptr<PeerDatagrams> datagrams;
   MemberRecords records;
   RankAgents agents;
+  // Rounds of heartbeats since the start.
   uint64_t round = 0;
   bool is_fetching = false;
   TimePoint last_fetch;
--- a/Services/bramleyspand/Gateway/PermitRequests.cc
+++ b/Services/bramleyspand/Gateway/PermitRequests.cc
@@ -13,11 +13,13 @@
 using telemetry::Log;
 using telemetry::LogLevel;
 
-// An agent answers within two milliseconds unless it is busy or its datagram
-// was lost; those that answer in time are enough.
+// An agent answers within 2 ms unless it is busy or a datagram was lost. After
+// this time the answers received so far are enough.
 constexpr Duration kInitialWait = std::chrono::milliseconds(6);
+// Time after which a probe ends that no agent has answered.
 constexpr Duration kMaxWait = std::chrono::milliseconds(25);
-// Where no agent answers, requests do not wait for one each time.
+// Time for which a service is not probed after no agent answered, so that its
+// requests do not wait for one each time.
 constexpr Duration kUnansweredCooldown = std::chrono::milliseconds(300);
 
 }  // namespace
@@ -33,9 +35,8 @@
   if (ranks.empty()) {
     return false;
   }
-  const auto unresponsive = this->unanswered_until.find(service);
-  if (unresponsive != this->unanswered_until.end() &&
-      now < unresponsive->second) {
+  const auto unanswered = this->unanswered_until.find(service);
+  if (unanswered != this->unanswered_until.end() && now < unanswered->second) {
     return false;
   }
   const uint64_t number = ++this->last_number;
@@ -100,9 +101,12 @@
   this->Decide(number);
 }
 
-// When a group opens, all that waited ask at once, and the first rank to open
-// offered each of them the same empty places: 22 streams of one gateway went
-// there. What other rounds took since this one began counts too.
+// Adds permits that this gateway took in other rounds since this one began to
+// the load of the round's offers.
+//
+// Failure: when a group opens, all waiting requests probe at once, and the
+// first rank to open offered the same free permits to each of them: 22 streams
+// of one gateway were sent to it.
 void PermitRequests::CountOwnPermits(Round& round) {
   const TimePoint now = EventLoop::Now();
   while (!this->taken.empty() && now - this->taken.front().at > kMaxWait) {
--- a/Services/bramleyspand/Gateway/PermitRequests.h
+++ b/Services/bramleyspand/Gateway/PermitRequests.h
@@ -1,4 +1,4 @@
-// Asks the agents beside a few ranks for a place for a stream.
+// Requests permits for streams from the agents of a few ranks.
 #pragma once
 
 #include <deque>
@@ -17,19 +17,18 @@
  public:
   enum class Verdict {
     kGranted,
-    // Agents answered, and none has a place.
+    // Agents answered, and none has a permit left.
     kFull,
     // No agent answered.
     kUnanswered,
   };
-  // A place that was taken. It has to be settled once its stream has begun or
-  // is over.
+  // A granted permit. It must be settled when its stream has started or ended.
   struct Permit {
     std::string target;
     std::string agent_ip;
     uint64_t number = 0;
   };
-  // The place is given with kGranted only.
+  // `permit` is set only if the verdict is kGranted.
   using OnDecided = std::function<void(Verdict verdict, const Permit& permit)>;
   using SendDatagram =
       std::function<void(const std::string& ip, const std::string& bytes)>;
@@ -37,12 +36,14 @@
   PermitRequests(GatewayState& state, SendDatagram send)
       : state(state), send(std::move(send)) {}
 
-  // Begins a round. False if there is no agent to ask.
+  // Probes agents and calls `on_decided` later. Returns false, without a call,
+  // if there is no agent to probe.
   bool Request(const std::string& service,
                const std::set<std::string>& excluded,
                bool is_late,
                OnDecided on_decided);
 
+  // Reports to the agent that the stream of the permit has started or ended.
   void Settle(const Permit& permit);
 
   void HandleOffer(const membership::wire::PlaceOfferT& offer);
@@ -62,7 +63,7 @@
     TimePoint began;
   };
 
-  // A place taken by this gateway a moment ago.
+  // A permit that this gateway took recently.
   struct TakenPermit {
     std::string target;
     TimePoint at;
@@ -75,7 +76,7 @@
   GatewayState& state;
   SendDatagram send;
   std::map<uint64_t, Round> rounds;
-  // Services of whose agents none answered a moment ago.
+  // Services are not probed until then, because none of their agents answered.
   std::map<std::string, TimePoint> unanswered_until;
   std::deque<TakenPermit> taken;
   uint64_t last_number = 0;
--- a/Services/bramleyspand/Gateway/RankAgents.cc
+++ b/Services/bramleyspand/Gateway/RankAgents.cc
@@ -15,8 +15,8 @@
 
 using membership::wire::MemberT;
 
-// Each gateway speaks for itself; another one's word helps where its own way
-// to an agent is cut.
+// Records of other gateways per heartbeat. Each gateway sends its own; those of
+// others help if their own path to an agent is cut.
 constexpr size_t kOtherGatewaysPerHeartbeat = 1;
 
 std::string FormatIp(uint32_t number) {
@@ -26,8 +26,8 @@
   return text.data();
 }
 
-// What an agent needs of a gateway: who and where it is. Agents' links are
-// small.
+// Copies the fields of a gateway's record that an agent needs: its name and
+// address. The links of agents have little bandwidth.
 std::unique_ptr<MemberT> TrimForAgents(const MemberT& member) {
   auto trimmed = std::make_unique<MemberT>();
   trimmed->name = member.name;
@@ -152,9 +152,10 @@
   return membership::Encode(std::move(heartbeat));
 }
 
-// Agents that were not heard of yet are beside their targets. After a loss of
-// power nobody knows anybody, and callers press: waiting until an agent had
-// heard of this gateway from one that its settings name took a second.
+// Agents that have not reported yet are included; each is taken to be on the VM
+// of its target. After a power outage no process knows any other, and callers
+// are waiting; without this it took a second until an agent received the
+// address of this gateway from a gateway that its settings name.
 std::set<std::string> RankAgents::UnresponsiveAgents(TimePoint now) const {
   std::set<std::string> ips;
   if (this->state.table == nullptr) {
--- a/Services/bramleyspand/Gateway/RankAgents.h
+++ b/Services/bramleyspand/Gateway/RankAgents.h
@@ -1,9 +1,11 @@
-// What a gateway hears of ranks and tells their agents: the gateways, and who
-// is above them in their group. It tells those that tell it, and asks those of
-// whose ranks nobody tells.
+// Collects the state of ranks from their agents, and sends heartbeats to
+// agents. A heartbeat names gateways, and the agents of rank 0 and of the
+// parent in the group of the agent's rank. Heartbeats go to agents that send to
+// this gateway, and to the agents of ranks that nobody reports.
 //
-// Failure: a leader is cut off from this gateway, and a tenth of a group seems
-// gone. Agents are asked one by one after a while, and answer for themselves.
+// Failure: a leader cannot reach this gateway, and a tenth of a group seems
+// gone. After a while the agents of these ranks are asked one by one and answer
+// for themselves.
 #pragma once
 
 #include <functional>
@@ -25,11 +27,11 @@
   RankAgents(GatewayState& state, Send send)
       : state(state), send(std::move(send)) {}
 
-  // An agent tells of its own rank.
+  // Handles an agent's record of its own rank.
   void HandleHeartbeat(const membership::wire::MemberT& member);
 
-  // A leader tells of its ranks. Returns whether it is heard for the first time
-  // in a while.
+  // Handles a leader's summary of its ranks. Returns whether it is the first
+  // message of this leader in a while.
   bool HandleSummary(const std::string& from_ip,
                      const membership::wire::GroupSummaryT& summary);
 
@@ -37,7 +39,7 @@
   void SendToAgent(const membership::wire::MemberT& self,
                    const std::string& ip);
 
-  // What is known of the ranks, into the targets.
+  // Copies the state of the ranks to the targets.
   void UpdateTargets(TimePoint now);
 
  private:
@@ -48,14 +50,16 @@
                               const std::string& ip,
                               const std::map<std::string, Ranks>& groups,
                               bool is_asking);
-  // Agents beside targets of whose ranks nothing is heard.
+  // Returns the IP addresses of agents whose ranks nobody has reported for a
+  // while.
   std::set<std::string> UnresponsiveAgents(TimePoint now) const;
 
   GatewayState& state;
   Send send;
   // By the address of the rank's server.
   std::map<std::string, gateway::RankView> ranks;
-  // Agents that tell this gateway themselves, and when they last did.
+  // Agents that send to this gateway directly, with the time of their last
+  // message.
   std::map<std::string, TimePoint> direct_agents;
   uint64_t round = 0;
 };
--- a/Services/bramleyspand/Gateway/UsageRecorder.cc
+++ b/Services/bramleyspand/Gateway/UsageRecorder.cc
@@ -31,7 +31,8 @@
   this->ledger.incarnation = this->state.incarnation;
   this->aggregator.process = name;
   this->aggregator.incarnation = this->state.incarnation;
-  // All gateways start together; their writes should not come together.
+  // The first write is at a random time, because all gateways start together
+  // and should not write together.
   const Duration interval = this->state.fleet().usage_interval;
   const Duration first = Duration(std::uniform_int_distribution<int64_t>(
       interval.count() / 2, interval.count())(this->state.random));
@@ -54,7 +55,7 @@
 
 void UsageRecorder::Write(std::function<void()> on_done) {
   if (this->open_writes > 0) {
-    // What was counted since those writes began is to be written too.
+    // Usage counted since the open writes started needs another write.
     this->on_all_written = [this, on_done = std::move(on_done)] {
       this->Write(on_done);
     };
@@ -109,8 +110,8 @@
   std::exchange(this->on_all_written, [] {})();
 }
 
-// Keys begin with the window's number, so that the oldest lie on the first
-// page. Whichever gateway comes first removes them.
+// Keys start with the number of the window, so that the oldest documents are on
+// the first page. Any gateway may remove them.
 void UsageRecorder::RemoveOldDocuments() {
   const TimePoint now = EventLoop::Now();
   if (this->removed_at != TimePoint{} &&
--- a/Services/bramleyspand/Gateway/UsageRecorder.h
+++ b/Services/bramleyspand/Gateway/UsageRecorder.h
@@ -1,6 +1,6 @@
-// Who caused which work at this gateway: counted as requests end, written to
-// the store every now and then, as whole documents under keys of this process.
-// Nothing of a request waits for it.
+// Counts the usage of requests as they end, by tenant, route and service, and
+// writes it to the store at intervals, as whole documents under keys of this
+// process. Requests do not wait for these writes.
 #pragma once
 
 #include <functional>
@@ -18,18 +18,19 @@
   explicit UsageRecorder(GatewayState& state)
       : state(state), documents(this->state.store) {}
 
-  // The state's store must be open.
+  // Starts the periodic writes. The store of the state must be open.
   void Start();
 
-  // A request has ended.
+  // Counts the work of a request that ended.
   void Count(const usage::Cause& cause, const usage::Counts& work);
 
-  // Writes what is due; `on_done` hears when every write has ended, well or
-  // not. A planned stop loses nothing while the store answers.
+  // Writes the documents that are due; `on_done` is called when every write has
+  // ended, successfully or not. A planned stop loses no usage while the store
+  // answers.
   void Write(std::function<void()> on_done);
 
-  // All that this process has counted and knows no longer stored, as a
-  // document.
+  // Returns all usage that this process has counted and does not know to be
+  // stored, as a document.
   std::string Serialize() const;
 
  private:
--- a/Tests/LibGateway/TestEventsAndRepeats.cc
+++ b/Tests/LibGateway/TestEventsAndRepeats.cc
@@ -11,9 +11,10 @@
 
 }  // namespace
 
-// Story: a server died in the middle of an event; the caller had its first
-// half, and the run that went on elsewhere began with the whole of it.
-TEST_CASE("Only whole events are handed over, however the bytes come") {
+// Failure: a server crashes in the middle of an event. The caller received its
+// first half, and the run that is resumed at another target repeats the whole
+// event.
+TEST_CASE("Only complete events are reported, however the bytes are split") {
   const std::string stream =
       "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: ha";
   for (size_t step = 1; step <= stream.size(); ++step) {
@@ -33,7 +34,7 @@
   }
 }
 
-TEST_CASE("An event without an id is passed on too") {
+TEST_CASE("An event without an id is reported too") {
   EventReader reader;
   int events = 0;
   reader.Read("data: x\n\n", [&events](const StreamEvent& event) {
@@ -43,7 +44,7 @@
   CHECK(events == 1);
 }
 
-TEST_CASE("All gateways together stay within the budget of any window") {
+TEST_CASE("All gateways together stay within the repeat budget of a window") {
   constexpr size_t kGateways = 6;
   std::vector<RepeatBudget> gateways(
       kGateways,
@@ -64,7 +65,7 @@
   CHECK(taken >= 100);
 }
 
-TEST_CASE("Repeats wear off with their window, and are kept by service") {
+TEST_CASE("Repeats expire with their window and are counted per service") {
   RepeatBudget budget{.settings = {.ratio = 0, .slack = 5}};
   const auto take = [&budget](Duration after) {
     return TakeRepeat(budget, "a", 1, kStart + after);
--- a/Tests/LibGateway/TestOffers.cc
+++ b/Tests/LibGateway/TestOffers.cc
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-TEST_CASE("The same number of ranks is asked in each group") {
+TEST_CASE("The same number of ranks is probed in each group") {
   const TargetTable table = TwoGroups();
   for (uint64_t bits = 1; bits < 20; ++bits) {
     size_t in_first = 0;
@@ -40,7 +40,7 @@
   }
 }
 
-TEST_CASE("Silent, avoided, tried and leaving ranks are not asked") {
+TEST_CASE("Unresponsive, avoided, tried and leaving ranks are not probed") {
   TargetTable table = TwoGroups();
   for (auto& [id, view] : table.by_id) {
     view.target.is_leaving = id != "r1" && id != "r2" && id != "r3";
@@ -53,10 +53,11 @@
   CHECK(PickRanksToProbe(table, "models", {"r1"}, 6, 1, kStart).empty());
 }
 
-// Story: after a loss of power a gateway knew all targets from the store and no
-// agent. It sent 88 requests to groups that were being formed, and all were
-// turned away.
-TEST_CASE("Ranks whose agents were not heard of yet are asked beside them") {
+// Failure: after a power outage a gateway knows all targets from the store but
+// no agent. It sent 88 requests to groups that were being formed, and all were
+// rejected.
+TEST_CASE(
+    "An agent that has not reported yet is probed at its target's address") {
   TargetTable table = TwoGroups();
   for (auto& [id, view] : table.by_id) {
     view.rank.reset();
@@ -66,7 +67,7 @@
   CHECK(AgentIpOf(*ranks.front()) == ranks.front()->target.address.ip);
 }
 
-TEST_CASE("The rank with the most room for its limit is chosen") {
+TEST_CASE("The admitting rank with the lowest utilization is chosen") {
   const auto chosen = ChooseOffer(
       {{.target = "full", .is_admitting = false, .load = 1, .limit = 8},
        {.target = "most", .is_admitting = true, .load = 3, .limit = 8},
@@ -76,7 +77,7 @@
   CHECK_FALSE(ChooseOffer({{.target = "full"}}).has_value());
 }
 
-TEST_CASE("A stream that is late anyway goes to a slow group first") {
+TEST_CASE("The offer of a slow group is chosen first") {
   const auto chosen = ChooseOffer(
       {{.target = "sound", .is_admitting = true, .load = 1, .limit = 8},
        {.target = "slow",
--- a/Tests/LibGateway/TestPermits.cc
+++ b/Tests/LibGateway/TestPermits.cc
@@ -27,7 +27,7 @@
   return table;
 }
 
-// Starts streams until there is no place; returns how many.
+// Starts streams until no permit is left; returns how many.
 uint32_t Fill(Permits& permits, TargetTable& table, const Sharing& sharing) {
   for (uint32_t started = 0;; ++started) {
     const TargetView* found = ChooseTargetWithPermit(
@@ -53,13 +53,14 @@
 
 }  // namespace
 
-TEST_CASE("A gateway takes its share, and all of it when it is alone") {
+TEST_CASE(
+    "A gateway uses its share of the limit, and all of it if it is alone") {
   Permits permits;
   TargetTable table = GroupOfRanks(8);
   SUBCASE("alone") {
     CHECK(Fill(permits, table, {.gateways = 1}) == 40);
   }
-  SUBCASE("one of four that all want more") {
+  SUBCASE("one of four that all have waiting requests") {
     for (auto& [id, view] : table.by_id) {
       view.open_elsewhere = 4;
     }
@@ -77,9 +78,9 @@
   }
 }
 
-// Story: groups filled and emptied by turns. Every gateway sent its next
-// stream to the group and the rank that had been the emptiest a heartbeat ago.
-TEST_CASE("Gateways that know the same do not all choose the same rank") {
+// Failure: every gateway sends its next stream to the group and rank that was
+// the least loaded one a heartbeat ago, so that groups fill and empty in turns.
+TEST_CASE("Gateways with the same view do not all choose the same rank") {
   Permits permits;
   const TargetTable table = GroupOfRanks(8);
   std::set<std::string> chosen;
@@ -91,10 +92,10 @@
   CHECK(chosen.size() == 8);
 }
 
-// Story: for half a minute gateways ran a fifth of the streams that the groups
-// could hold. The first gateway to hear of one rank had set the whole group's
-// limit by it.
-TEST_CASE("A rank that becomes known brings its places") {
+// Failure: the first gateway that learns of one rank sets the limit of the
+// whole group by it. Gateways ran a fifth of the streams that the groups could
+// hold for half a minute.
+TEST_CASE("A rank that becomes known raises the limit of its group") {
   Permits permits;
   TargetTable one = GroupOfRanks(1);
   CHECK(Fill(permits, one, {}) == 5);
@@ -102,9 +103,9 @@
   CHECK(Fill(permits, all, {}) == 40);
 }
 
-// Story: with twelve streams a rank every pass took longer than a pause may
-// last, and each stream of the day was late.
-TEST_CASE("Long pauses lower the limit, short ones raise it where it is used") {
+// Failure: with 12 streams per rank every pass takes longer than the longest
+// pause, and all streams are late.
+TEST_CASE("Long pauses lower the limit, short ones raise it if it is used") {
   Permits permits;
   TargetTable table = GroupOfRanks(8);
   Fill(permits, table, {});
@@ -116,7 +117,7 @@
   CHECK(permits.groups["g"].streams_per_rank > lowered);
 }
 
-TEST_CASE("Short pauses of an idle group raise nothing") {
+TEST_CASE("Short pauses of an idle group do not raise the limit") {
   Permits permits;
   TargetTable table = GroupOfRanks(8);
   ChooseTargetWithPermit(permits, table, EngineService(), {}, {}, 1, kStart);
@@ -124,16 +125,16 @@
   CHECK(permits.groups["g"].streams_per_rank == doctest::Approx(5));
 }
 
-TEST_CASE("A group that is being formed gets nothing") {
+TEST_CASE("A group that is being formed gets no streams") {
   Permits permits;
   TargetTable table = GroupOfRanks(8);
   table.by_id["r3"].rank->is_open = false;
   CHECK(Fill(permits, table, {}) == 0);
 }
 
-// Story: what was in demand jumped, passes took 150 ms, and all streams of the
-// group were late; the prompts that came in that second had made it worse.
-TEST_CASE("A group whose pauses grow too long gets nothing for a moment") {
+// Failure: after a demand shift passes take 150 ms and all streams of the group
+// are late; the prompts that arrive in that second make it worse.
+TEST_CASE("A group whose pauses are too long gets no streams for 100 ms") {
   Permits permits;
   TargetTable table = GroupOfRanks(8);
   const auto is_open_at = [&](Duration after) {
@@ -147,13 +148,13 @@
   CHECK(is_open_at(std::chrono::milliseconds(150)));
 }
 
-// Story: after a loss of power each request was turned away by two ranks within
-// 6 ms and refused. The group was being formed, which takes 600 ms, and no
-// agent had told of it yet.
-TEST_CASE("After a refusal by a rank its group gets nothing for a moment") {
+// Failure: after a power outage each request is rejected by two ranks within 6
+// ms and refused. The group is being formed, which takes 600 ms, and no agent
+// has reported it yet.
+TEST_CASE("After a rejection by a rank its group gets no streams for 150 ms") {
   Permits permits;
   const TargetTable table = GroupOfRanks(8);
-  RecordRefusal(permits, "g", kStart);
+  RecordRejection(permits, "g", kStart);
   CHECK(ChooseTargetWithPermit(permits, table, EngineService(), {}, {}, 1,
                                kStart) == nullptr);
   CHECK(ChooseTargetWithPermit(permits, table, EngineService(), {}, {}, 1,
--- a/Tests/LibGateway/TestRouteTable.cc
+++ b/Tests/LibGateway/TestRouteTable.cc
@@ -29,13 +29,13 @@
 }
 
 TEST_CASE(
-    "A prefix that only looks like the path's beginning selects nothing") {
+    "A prefix that the path does not start with in full is not selected") {
   const RouteTable table = TableOf({"/book/"});
   CHECK(FindRoute(table, "halls.example", "/books/1") == nullptr);
   CHECK(FindRoute(table, "halls.example", "/book") == nullptr);
 }
 
-TEST_CASE("A split sends each service its part, and nothing to a weight of 0") {
+TEST_CASE("A split sends each service its part, and none to weight 0") {
   Route route;
   route.split = {{.service = "a", .weight = 90},
                  {.service = "b", .weight = 0},
@@ -46,7 +46,7 @@
   CHECK(PickService(route, 0.9999) == "c");
 }
 
-TEST_CASE("A copy's time follows from its size and the link") {
+TEST_CASE("The time of a copy is its size over the bandwidth of the link") {
   EngineShape engine{.expert_megabytes = 210,
                      .link_megabits_per_second = 92000};
   CHECK(CopyTimeOf(engine) / std::chrono::milliseconds(1) == 18);
--- a/Tests/LibGateway/TestTargets.cc
+++ b/Tests/LibGateway/TestTargets.cc
@@ -26,26 +26,25 @@
 
 }  // namespace
 
-// Story: after a loss of power half of the requests were answered 421 and the
-// groups were overloaded for seconds. Every server had come back under a new
-// name at its old address while the old name was still listed, so that both
-// names were sent to and both counted as places.
+// Failure: after a power outage every server runs again at its old address
+// under a new name, while the old name is still listed. Requests are sent to
+// both names and both count as capacity: half of the requests were answered 421
+// and the groups were overloaded for seconds.
 TEST_CASE("A target is replaced by the newer one at its address") {
   TargetTable table;
   ApplyTarget(table, TargetOf("old", 80, 5));
   ApplyTarget(table, TargetOf("other", 81, 6));
   ApplyTarget(table, TargetOf("new", 80, 9));
   CHECK(Usable(table) == std::set<std::string>{"new", "other"});
-  SUBCASE("News that come late do not bring the old one back") {
+  SUBCASE("A late update does not restore the old target") {
     ApplyTarget(table, TargetOf("old", 80, 7));
     CHECK(Usable(table) == std::set<std::string>{"new", "other"});
   }
 }
 
-// Story: a server that says that it is another one got the next request too,
-// and the next. Its address had been given away, and its record outlived it.
-TEST_CASE(
-    "A target that was misdirected gets nothing until it is listed anew") {
+// Failure: a server answers that it is another target, because its address was
+// reassigned while its record remained. It keeps getting requests.
+TEST_CASE("A misdirected target gets no requests until it is listed again") {
   TargetTable table;
   ApplyTarget(table, TargetOf("a", 80, 1));
   RecordOutcome(table, "a", Outcome::kMisdirected, kStart);
@@ -54,7 +53,7 @@
   CHECK(Usable(table) == std::set<std::string>{"a"});
 }
 
-TEST_CASE("A leaving target and one that was tried get nothing") {
+TEST_CASE("A leaving target and one that was tried get no requests") {
   TargetTable table;
   Target leaving = TargetOf("a", 80, 1);
   leaving.is_leaving = true;
@@ -65,9 +64,9 @@
         nullptr);
 }
 
-// Story: a server that fails half of its requests while its health is good
-// kept its share of them.
-TEST_CASE("A failing target is passed over until its failures have worn off") {
+// Failure: a server that fails half of its requests while its health check
+// succeeds keeps its share of them.
+TEST_CASE("A failing target is not chosen until its failures have decayed") {
   TargetTable table;
   ApplyTarget(table, TargetOf("a", 80, 1));
   ApplyTarget(table, TargetOf("b", 81, 1));
@@ -83,7 +82,7 @@
       "a");
 }
 
-TEST_CASE("An unreachable target comes last but is not ruled out") {
+TEST_CASE("An unreachable target comes last but is not excluded") {
   TargetTable table;
   ApplyTarget(table, TargetOf("a", 80, 1));
   RecordOutcome(table, "a", Outcome::kUnreachable, kStart);
--- a/Tests/LibGateway/TestWaiting.cc
+++ b/Tests/LibGateway/TestWaiting.cc
@@ -21,14 +21,15 @@
 
 }  // namespace
 
-// Failure: callers refused while a group was down return and are taken for new.
-TEST_CASE("A caller that has waited before is told from a new one") {
+// Failure: callers that were refused while a group was down retry and are taken
+// for new ones.
+TEST_CASE("A caller that retries is distinguished from a new one") {
   WaitBudget budget;
   CHECK_FALSE(RecordWaitBudget(budget, milliseconds(7400), kStart));
   CHECK_FALSE(RecordWaitBudget(budget, milliseconds(8000), kStart));
   CHECK_FALSE(RecordWaitBudget(budget, milliseconds(6800), kStart));
   CHECK(RecordWaitBudget(budget, milliseconds(5200), kStart));
-  SUBCASE("by what callers say now, not by what they said a while ago") {
+  SUBCASE("by recent wait budgets only, not by those of over 60 s ago") {
     const TimePoint later = kStart + seconds(61);
     CHECK_FALSE(RecordWaitBudget(budget, milliseconds(2500), later));
     CHECK_FALSE(RecordWaitBudget(budget, milliseconds(2300), later));
@@ -36,7 +37,7 @@
   }
 }
 
-TEST_CASE("A stream waits in time first, then late, and less than it listens") {
+TEST_CASE("A stream waits while late too, but less than its event timeout") {
   const Wait wait = PlanWait(Stream(false), kStart);
   CHECK(wait.late_from == kStart + milliseconds(250));
   CHECK(wait.ends == kStart + milliseconds(1400));
@@ -44,15 +45,15 @@
   CHECK(PlanWait(Stream(true), kStart).ends == wait.ends);
 }
 
-// Failure: a plain call is held until its caller has left.
-TEST_CASE("What is no stream is given up while another try can be in time") {
+// Failure: a request that is no stream is held until its caller disconnects.
+TEST_CASE("A request that is no stream is refused in time for a retry") {
   const Wait wait =
       PlanWait({.objective = milliseconds(100), .allowed = seconds(1)}, kStart);
   CHECK(wait.ends == kStart + milliseconds(50));
   CHECK(wait.late_from == wait.ends);
 }
 
-TEST_CASE("Urgent ones go first, then those in time, then those turned away") {
+TEST_CASE("Urgent requests go first, then those in time, then retries") {
   const Urgency urgent{.priority = 0, .is_late = true};
   const Urgency in_time{.priority = 1};
   const Urgency retried{.priority = 1, .is_late = true, .is_retry = true};
@@ -64,14 +65,14 @@
   CHECK_FALSE(is_before(in_time, in_time));
 }
 
-TEST_CASE("A refused caller returns with enough time for a second try") {
+TEST_CASE("The retry delay leaves time for a second attempt") {
   CHECK(RetryDelayFor(RefusalReason::kNoPermit, milliseconds(6600)) ==
         milliseconds(2200));
   CHECK(RetryDelayFor(RefusalReason::kNoPermit, milliseconds(30)) ==
         milliseconds(100));
 }
 
-TEST_CASE("A refused caller returns once what stood in its way may be over") {
+TEST_CASE("The retry delay depends on the reason of the refusal") {
   constexpr Duration kLeft = seconds(6);
   CHECK(RetryDelayFor(RefusalReason::kStoreUnavailable, kLeft) == seconds(2));
   CHECK(RetryDelayFor(RefusalReason::kStarting, kLeft) == milliseconds(500));
