--- a/Libraries/LibGateway/Targets.cc
+++ b/Libraries/LibGateway/Targets.cc
@@ -8,17 +8,18 @@
 
 namespace {
 
-// A failure counts half after this time.
+// Time in which the weight of a failure halves.
 constexpr Duration kFailureHalfLife = std::chrono::seconds(2);
-// An unreachable target is left alone this long, then tried again.
-constexpr Duration kAvoidTime = std::chrono::milliseconds(1500);
-// The load that a recent failure counts as, in parts of all slots.
+// An unreachable target is avoided for this time, then tried again.
+constexpr Duration kAvoidDuration = std::chrono::milliseconds(1500);
+// The load that one recent failure counts as, as a fraction of all slots.
 constexpr double kFailureWeight = 0.6;
-// A target in another zone counts as a little more loaded.
+// Additional load of a target in another availability zone, as a fraction of
+// all slots.
 constexpr double kOtherZoneWeight = 0.02;
 constexpr double kJitterWeight = 0.01;
-// Good answers wear failures off.
-constexpr double kGoodFactor = 0.9;
+// Factor on the failure count after each request that did not fail.
+constexpr double kSuccessDecay = 0.9;
 
 double JitterOf(uint64_t bits, const std::string& id) {
   const uint64_t mixed =
@@ -57,10 +58,10 @@
   return view.failures * std::exp2(-std::max(0.0, age));
 }
 
-void NoteOutcome(TargetTable& table,
-                 const std::string& id,
-                 Outcome outcome,
-                 TimePoint now) {
+void RecordOutcome(TargetTable& table,
+                   const std::string& id,
+                   Outcome outcome,
+                   TimePoint now) {
   const auto found = table.by_id.find(id);
   if (found == table.by_id.end()) {
     return;
@@ -70,7 +71,7 @@
   view.failures_at = now;
   switch (outcome) {
     case Outcome::kGood:
-      view.failures *= kGoodFactor;
+      view.failures *= kSuccessDecay;
       return;
     case Outcome::kFailed:
       view.failures += 1;
@@ -80,7 +81,7 @@
       return;
     case Outcome::kUnreachable:
       view.failures += 1;
-      view.avoided_until = now + kAvoidTime;
+      view.avoided_until = now + kAvoidDuration;
       return;
   }
 }
@@ -119,7 +120,7 @@
     cost += kFailureWeight * FailureScore(view, now);
     cost += view.target.zone == own_zone ? 0 : kOtherZoneWeight;
     cost += kJitterWeight * JitterOf(random_bits, view.target.id);
-    // Avoided ones come last but are not ruled out: if all were unreachable a
+    // Avoided targets come last but are not excluded: if all were unreachable a
     // moment ago, one of them may answer again.
     cost += view.avoided_until > now ? 1000 : 0;
     if (best == nullptr || cost < best_cost) {
--- a/Services/bramleyspand/Gateway/ForwardingSending.cc
+++ b/Services/bramleyspand/Gateway/ForwardingSending.cc
@@ -1,4 +1,4 @@
-// What goes out to a target.
+// Sends a request to a target.
 #include <algorithm>
 #include <utility>
 
@@ -10,16 +10,16 @@
 
 namespace {
 
-using detail::is_own_header;
-using detail::kStreamSilence;
-using detail::Text;
+using detail::is_hop_by_hop;
+using detail::kStreamEventTimeout;
+using detail::ToMillisecondsText;
 using gateway::RouteKind;
 using gateway::TargetView;
 using http::CallEnd;
 using telemetry::Log;
 using telemetry::LogLevel;
 
-// A connection inside a region takes a millisecond or two.
+// Within a region a connection takes 1 to 2 ms.
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(250);
 
 }  // namespace
@@ -39,7 +39,7 @@
     const bool is_reserved =
         std::find(names.reserved.begin(), names.reserved.end(), name) !=
         names.reserved.end();
-    if (is_own_header(name) || is_reserved || name == names.key ||
+    if (is_hop_by_hop(name) || is_reserved || name == names.key ||
         name == names.tenant || name == names.deadline ||
         name == names.expected_target || name == names.priority ||
         http::has_token(connection_words, name)) {
@@ -56,7 +56,8 @@
   if (!this->tenant.empty()) {
     headers.emplace_back(names.tenant, this->tenant);
   }
-  headers.emplace_back(names.deadline, Text(this->deadline - now));
+  headers.emplace_back(names.deadline,
+                       ToMillisecondsText(this->deadline - now));
   headers.emplace_back(names.expected_target, target.target.id);
   return headers;
 }
@@ -71,17 +72,18 @@
   this->answer.reset();
   this->answer_body.clear();
   this->events = {};
-  this->is_passing_events = false;
+  this->is_forwarding_events = false;
   Log(LogLevel::kInfo, "forward", "sent",
       {{"request", this->id},
        {"target", this->target_id},
        {"group", this->group},
        {"open", std::to_string(target.open)},
        {"open_elsewhere", std::to_string(target.open_elsewhere)},
-       {"waited_ms", Text(now - this->arrived)},
+       {"waited_ms", ToMillisecondsText(now - this->arrived)},
        {"targets_revision",
         std::to_string(this->state.targets_feed->newest_revision())},
-       {"targets_age_ms", Text(this->state.targets_feed->age(now))},
+       {"targets_age_ms",
+        ToMillisecondsText(this->state.targets_feed->age(now))},
        {"attempt", std::to_string(this->tried.size())}});
   http::DirectRequest outgoing{
       .target = target.target.address,
@@ -107,10 +109,10 @@
   this->call = http::DirectCall::Start(this->state.loop, std::move(outgoing),
                                        std::move(listeners));
   if (this->is_streaming()) {
-    this->ArmSilence(kStreamSilence);
+    this->ArmAttemptTimer(kStreamEventTimeout);
   } else if (this->route->kind == RouteKind::kIdempotent) {
-    this->ArmSilence(std::max<Duration>(this->route->objective * 2,
-                                        (this->deadline - now) * 2 / 5));
+    this->ArmAttemptTimer(std::max<Duration>(this->route->objective * 2,
+                                             (this->deadline - now) * 2 / 5));
   }
 }
 
