--- a/Libraries/LibAdmission/Admission.cc
+++ b/Libraries/LibAdmission/Admission.cc
@@ -8,25 +8,25 @@
 namespace {
 
 // Each new measurement counts this share of the mean.
-constexpr double kNewShare = 1.0 / 32;
+constexpr double kSampleWeight = 1.0 / 32;
 
 Duration Microseconds(double count) {
   return Duration(static_cast<int64_t>(std::ceil(count)));
 }
 
 void AddDecayed(double& sum, double& weight, double value, double count) {
-  sum = sum * (1 - kNewShare) + value;
-  weight = weight * (1 - kNewShare) + count;
+  sum = sum * (1 - kSampleWeight) + value;
+  weight = weight * (1 - kSampleWeight) + count;
 }
 
 // Mean time from start to end. The ages of what runs now bound it from below:
 // when an engine starts to limp nothing ends for a while, and a mean over ends
 // alone would go on to promise the old pace.
 double MeanService(const Admission& admission, TimePoint now) {
-  const Measured& measured = admission.measured;
+  const Measurements& measurements = admission.measurements;
   const double ended =
-      measured.service_count > 0
-          ? measured.service_microseconds / measured.service_count
+      measurements.service_count > 0
+          ? measurements.service_microseconds / measurements.service_count
           : static_cast<double>(admission.settings.initial_service.count());
   if (admission.running.empty()) {
     return ended;
@@ -46,8 +46,8 @@
 
 // Time from start to the first token.
 double MeanPrefill(const Admission& admission, const Request& request) {
-  const Duration expected =
-      Predict(admission.measured.prefill, UncachedTokens(admission, request));
+  const Duration expected = Predict(admission.measurements.prefill,
+                                    UncachedTokens(admission, request));
   return static_cast<double>(expected.count());
 }
 
@@ -59,7 +59,7 @@
   return MeanService(admission, now) / std::max(admission.settings.slots, 1U);
 }
 
-Duration Silence(const Admission& admission, TimePoint now) {
+Duration TimeSinceProgress(const Admission& admission, TimePoint now) {
   if (admission.running.empty()) {
     return Duration::zero();
   }
@@ -73,19 +73,20 @@
 // A frozen engine sends no event at all. What shows is silence much longer
 // than the interval at which ends are due; how long it will go on is best
 // guessed by how long it has lasted.
-Duration StallOf(const Admission& admission, TimePoint now) {
-  const Duration silence = Silence(admission, now);
+Duration StallDuration(const Admission& admission, TimePoint now) {
+  const Duration elapsed = TimeSinceProgress(admission, now);
   const auto running =
       static_cast<double>(std::max<size_t>(admission.running.size(), 1));
-  const double due = MeanService(admission, admission.last_progress) / running;
-  const Duration bound =
-      std::max(admission.settings.shortest_stall,
-               Microseconds(admission.settings.stall_factor * due));
-  return silence > bound ? silence : Duration::zero();
+  const double expected_interval =
+      MeanService(admission, admission.last_progress) / running;
+  const Duration bound = std::max(
+      admission.settings.min_stall,
+      Microseconds(admission.settings.stall_factor * expected_interval));
+  return elapsed > bound ? elapsed : Duration::zero();
 }
 
-void NoteStall(Admission& admission, TimePoint now) {
-  if (StallOf(admission, now) > Duration::zero()) {
+void DetectStall(Admission& admission, TimePoint now) {
+  if (StallDuration(admission, now) > Duration::zero()) {
     admission.is_stalled = true;
   }
 }
@@ -103,17 +104,18 @@
 // Spreads the returns of the refused over the time that the queue needs to
 // take them: all told the same second would come back as one herd.
 Duration RetryAfter(Admission& admission, Duration excess, TimePoint now) {
-  admission.returns_until = std::max(admission.returns_until, now + excess) +
+  admission.retries_until = std::max(admission.retries_until, now + excess) +
                             Microseconds(DrainInterval(admission, now));
-  const TimePoint latest = now + admission.settings.longest_retry_after;
-  admission.returns_until = std::min(admission.returns_until, latest);
-  return admission.returns_until - now;
+  const TimePoint latest = now + admission.settings.max_retry_after;
+  admission.retries_until = std::min(admission.retries_until, latest);
+  return admission.retries_until - now;
 }
 
 void Start(Admission& admission, const Request& request, TimePoint now) {
   const uint32_t uncached = UncachedTokens(admission, request);
-  Remember(admission.prefixes, request.prefix,
-           std::min(request.prompt_tokens, admission.settings.prefix_tokens));
+  RecordPrefix(
+      admission.prefixes, request.prefix,
+      std::min(request.prompt_tokens, admission.settings.prefix_tokens));
   admission.running.emplace(
       request.id,
       Running{.request = request, .started = now, .uncached_tokens = uncached});
@@ -121,7 +123,7 @@
 
 void GiveUpLate(Admission& admission, TimePoint now, Effects& effects) {
   const double drain_interval = DrainInterval(admission, now);
-  const Duration stall = StallOf(admission, now);
+  const Duration stall = StallDuration(admission, now);
   for (auto& queue : admission.queues.waiting) {
     size_t position = 0;
     std::erase_if(queue, [&](const Request& request) {
@@ -163,23 +165,23 @@
                              DrainInterval(admission, now));
   const size_t in_flight =
       admission.running.size() + CountWaiting(admission.queues);
-  return {.first_token = StallOf(admission, now) +
+  return {.first_token = StallDuration(admission, now) +
                          Microseconds(wait + MeanPrefill(admission, request)),
           .in_flight = static_cast<uint32_t>(in_flight),
           .cached_tokens = CachedTokens(admission.prefixes, request.prefix)};
 }
 
-Decision Offer(Admission& admission, const Request& request, TimePoint now) {
-  NoteStall(admission, now);
+Decision Decide(Admission& admission, const Request& request, TimePoint now) {
+  DetectStall(admission, now);
   const Duration needed = EstimateFor(admission, request, now).first_token;
-  const auto given = static_cast<double>((request.deadline - now).count());
+  const auto time_left = static_cast<double>((request.deadline - now).count());
   const Duration allowed =
-      Microseconds(given * admission.settings.admitted_share);
+      Microseconds(time_left * admission.settings.admitted_share);
   if (needed > allowed) {
     return {.verdict = Verdict::kRefuse,
             .retry_after = RetryAfter(admission, needed - allowed, now)};
   }
-  NoteTaken(admission.queues, request.service_class, now);
+  RecordAdmitted(admission.queues, request.service_class, now);
   if (admission.running.size() < UsableSlots(admission) &&
       CountWaiting(admission.queues) == 0) {
     Start(admission, request, now);
@@ -198,8 +200,8 @@
   }
   Running& running = found->second;
   running.has_first_token = true;
-  Learn(admission.measured.prefill, running.uncached_tokens,
-        now - running.started);
+  AddSample(admission.measurements.prefill, running.uncached_tokens,
+            now - running.started);
 }
 
 Effects HandleEnd(Admission& admission,
@@ -210,8 +212,8 @@
   if (found != admission.running.end()) {
     if (is_measured) {
       HandleProgress(admission, id, now);
-      AddDecayed(admission.measured.service_microseconds,
-                 admission.measured.service_count,
+      AddDecayed(admission.measurements.service_microseconds,
+                 admission.measurements.service_count,
                  static_cast<double>((now - found->second.started).count()), 1);
     }
     admission.running.erase(found);
@@ -225,7 +227,7 @@
 
 Effects Review(Admission& admission, TimePoint now) {
   Effects effects;
-  NoteStall(admission, now);
+  DetectStall(admission, now);
   GiveUpLate(admission, now, effects);
   StartWaiting(admission, now, effects);
   return effects;
--- a/Libraries/LibAdmission/Admission.h
+++ b/Libraries/LibAdmission/Admission.h
@@ -8,7 +8,7 @@
 
 #include "LibAdmission/ClassQueues.h"
 #include "LibAdmission/PrefillModel.h"
-#include "LibAdmission/PrefixMemory.h"
+#include "LibAdmission/RecentPrefixes.h"
 
 namespace bramleyspan::admission {
 
@@ -25,8 +25,8 @@
   // The back end counts as stalled when it gave no sign for this many times
   // the interval at which one is due.
   double stall_factor = 6;
-  Duration shortest_stall = std::chrono::milliseconds(200);
-  Duration longest_retry_after = std::chrono::seconds(30);
+  Duration min_stall = std::chrono::milliseconds(200);
+  Duration max_retry_after = std::chrono::seconds(30);
 };
 
 // A request that the back end is working on.
@@ -38,7 +38,7 @@
 };
 
 // What was measured: decayed sums, whose quotient is a mean, and prefills.
-struct Measured {
+struct Measurements {
   double service_microseconds = 0;
   double service_count = 0;
   PrefillModel prefill;
@@ -48,14 +48,14 @@
   AdmissionSettings settings;
   ClassQueues queues;
   std::map<uint64_t, Running> running;
-  PrefixMemory prefixes;
-  Measured measured;
+  RecentPrefixes prefixes;
+  Measurements measurements;
   // The last time at which the back end gave a sign.
   TimePoint last_progress;
   // Set while the back end is stalled; one request at a time tries it then.
   bool is_stalled = false;
   // The time by which all that were told to come back will be through.
-  TimePoint returns_until;
+  TimePoint retries_until;
 };
 
 // What a probe is told, and what admission itself goes by.
@@ -92,7 +92,7 @@
                      TimePoint now);
 
 // Decides about a new request; its id must be new.
-Decision Offer(Admission& admission, const Request& request, TimePoint now);
+Decision Decide(Admission& admission, const Request& request, TimePoint now);
 
 // The back end sent bytes of a running request.
 void HandleProgress(Admission& admission, uint64_t id, TimePoint now);
--- a/Libraries/LibAdmission/ClassQueues.cc
+++ b/Libraries/LibAdmission/ClassQueues.cc
@@ -21,16 +21,17 @@
   return count;
 }
 
-void NoteTaken(ClassQueues& queues,
-               catalogue::ServiceClass service_class,
-               TimePoint now) {
-  const double elapsed = std::chrono::duration<double>(now - queues.taken_at) /
-                         std::chrono::duration<double>(kArrivalWindow);
-  for (double& count : queues.taken) {
+void RecordAdmitted(ClassQueues& queues,
+                    catalogue::ServiceClass service_class,
+                    TimePoint now) {
+  const double elapsed =
+      std::chrono::duration<double>(now - queues.decayed_at) /
+      std::chrono::duration<double>(kArrivalWindow);
+  for (double& count : queues.admitted) {
     count *= std::exp(-elapsed);
   }
-  queues.taken_at = now;
-  queues.taken[IndexOf(service_class)] += 1;
+  queues.decayed_at = now;
+  queues.admitted[IndexOf(service_class)] += 1;
 }
 
 void Push(ClassQueues& queues, const Request& request) {
@@ -87,11 +88,12 @@
       if (index == own) {
         continue;
       }
-      const double most =
+      const double max_starts =
           own_starts * queues.weights[index] / queues.weights[own];
-      const double there = static_cast<double>(queues.waiting[index].size()) +
-                           queues.taken[index] * wait / window;
-      starts += std::min(there, most);
+      const double competing =
+          static_cast<double>(queues.waiting[index].size()) +
+          queues.admitted[index] * wait / window;
+      starts += std::min(competing, max_starts);
     }
     const double next =
         std::max(0.0, starts - free_slots) * start_interval_microseconds;
--- a/Libraries/LibAdmission/ClassQueues.h
+++ b/Libraries/LibAdmission/ClassQueues.h
@@ -36,8 +36,8 @@
   std::array<double, kClasses> pass{};
   double virtual_time = 0;
   // Decayed counts of what was taken lately, and when they were decayed.
-  std::array<double, kClasses> taken{};
-  TimePoint taken_at;
+  std::array<double, kClasses> admitted{};
+  TimePoint decayed_at;
 };
 
 // Over this time what was taken counts for the rate of arrivals.
@@ -50,9 +50,9 @@
 size_t CountWaiting(const ClassQueues& queues);
 
 // Notes that a request was taken, whether it waits or starts at once.
-void NoteTaken(ClassQueues& queues,
-               catalogue::ServiceClass service_class,
-               TimePoint now);
+void RecordAdmitted(ClassQueues& queues,
+                    catalogue::ServiceClass service_class,
+                    TimePoint now);
 
 void Push(ClassQueues& queues, const Request& request);
 
--- a/Libraries/LibAdmission/PrefillModel.cc
+++ b/Libraries/LibAdmission/PrefillModel.cc
@@ -7,26 +7,26 @@
 namespace {
 
 // The share of a new measurement in the sums.
-constexpr double kNewShare = 1.0 / 32;
+constexpr double kSampleWeight = 1.0 / 32;
 
 // Lengths that spread less than this share of their mean show no slope: noise
 // in the time would be taken for a cost per token.
-constexpr double kLeastSpread = 0.1;
+constexpr double kMinSpread = 0.1;
 
-void Add(double& sum, double value) {
-  sum = sum * (1 - kNewShare) + value;
+void AddDecayed(double& sum, double value) {
+  sum = sum * (1 - kSampleWeight) + value;
 }
 
 }  // namespace
 
-void Learn(PrefillModel& model, uint32_t tokens, Duration time) {
+void AddSample(PrefillModel& model, uint32_t tokens, Duration time) {
   const auto length = static_cast<double>(tokens);
   const auto microseconds = static_cast<double>(time.count());
-  Add(model.weight, 1);
-  Add(model.tokens, length);
-  Add(model.time, microseconds);
-  Add(model.tokens_squared, length * length);
-  Add(model.tokens_time, length * microseconds);
+  AddDecayed(model.weight, 1);
+  AddDecayed(model.tokens, length);
+  AddDecayed(model.time, microseconds);
+  AddDecayed(model.tokens_squared, length * length);
+  AddDecayed(model.tokens_time, length * microseconds);
 }
 
 Duration Predict(const PrefillModel& model, uint32_t tokens) {
@@ -39,10 +39,10 @@
       model.tokens_squared / model.weight - mean_length * mean_length;
   const double covariance =
       model.tokens_time / model.weight - mean_length * mean_time;
-  const double least_variance =
-      kLeastSpread * kLeastSpread * mean_length * mean_length;
+  const double min_variance =
+      kMinSpread * kMinSpread * mean_length * mean_length;
   const double slope =
-      variance > least_variance ? std::max(covariance / variance, 0.0) : 0.0;
+      variance > min_variance ? std::max(covariance / variance, 0.0) : 0.0;
   const double expected =
       mean_time + slope * (static_cast<double>(tokens) - mean_length);
   return Duration(static_cast<int64_t>(std::max(expected, 0.0)));
--- a/Libraries/LibAdmission/PrefillModel.h
+++ b/Libraries/LibAdmission/PrefillModel.h
@@ -19,7 +19,7 @@
 };
 
 // Takes in that a prompt of `tokens` uncached tokens took `time`.
-void Learn(PrefillModel& model, uint32_t tokens, Duration time);
+void AddSample(PrefillModel& model, uint32_t tokens, Duration time);
 
 // The time that a prompt of `tokens` uncached tokens is expected to take; zero
 // while nothing was measured. Prompts of one length show no cost per token,
--- /dev/null
+++ b/Libraries/LibAdmission/RankAdmission.cc
@@ -0,0 +1,260 @@
+#include "LibAdmission/RankAdmission.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace bramleyspan::admission {
+
+namespace {
+
+constexpr double kMinLimit = 2;
+// Streams a rank runs at once before anything is known of its passes: a group
+// that was formed anew has its first map.
+constexpr double kInitialLimit = 5;
+// From there a rank takes more with each pass that is shorter than this part of
+// the longest pause.
+constexpr double kLimitGrowthPerPass = 0.25;
+constexpr double kShortPassFraction = 0.7;
+// Reading prompts and preparing maps need room beside the running streams.
+constexpr double kMaxSlotFraction = 0.7;
+// What may run at least where jumps of demand make passes too long.
+constexpr double kMinSlotFractionAtShifts = 0.5;
+// Until a map that fits is there, passes after a jump may take this part of the
+// longest pause.
+constexpr double kShiftPassFraction = 0.92;
+// A rank is overloaded once it runs more than this part of what may run, until
+// it runs less than the other part of what fits with jumps: what comes and goes
+// in a moment is better let in.
+constexpr double kOverloadedFraction = 0.8;
+constexpr double kRelievedFraction = 0.7;
+// A rank that runs less than this part of its slots has less than its group.
+constexpr double kMinRunningFraction = 0.45;
+// The part of the longest pause at which a pass is held, so that unusual ones
+// stay under it too.
+constexpr double kPassBudgetFraction = 0.85;
+// Passes are averaged over this time.
+constexpr Duration kPassWindow = std::chrono::milliseconds(300);
+// A place whose stream was not told of any more is free again after this time:
+// the gateway may have died, or its datagram was lost.
+constexpr Duration kReservationTimeout = std::chrono::milliseconds(800);
+// A report older than this says nothing of the rank.
+constexpr Duration kMaxReportAge = std::chrono::milliseconds(500);
+// A jump of demand makes passes long until copies are there; only after this
+// time is a group slow.
+constexpr Duration kSlowDelay = std::chrono::milliseconds(700);
+// A slow group takes late streams while its passes are no longer than this
+// many times the longest pause: they have to end before their callers leave.
+constexpr double kMaxSlowPassFactor = 1.6;
+// Late streams fill no more than this part of what may run, so that those in
+// time find a place: gateways that have only late ones waiting would take every
+// place that comes free, and in a minute all streams would be late.
+constexpr double kLateLimitFraction = 0.75;
+// A rank that takes this many times as long as usual is left alone.
+constexpr double kSlowPace = 1.5;
+
+// A gateway asks so many ranks at once and takes one place.
+constexpr double kProbesPerPermit = 6;
+// A gateway decides within six milliseconds, and its word takes one or two.
+constexpr Duration kOfferLifetime = std::chrono::milliseconds(9);
+
+double SecondsOf(Duration time) {
+  return std::chrono::duration<double>(time).count();
+}
+
+double MaxLimitOf(const RankAdmission& admission) {
+  return std::max(kMinLimit, kMaxSlotFraction * admission.settings.slots);
+}
+
+// How long a pass took lately, without the one under way; zero if too few were
+// seen to tell.
+Duration MeanPass(const RankAdmission& admission) {
+  constexpr uint64_t kMinPasses = 2;
+  if (admission.passes.empty()) {
+    return Duration(0);
+  }
+  const ObservedPass& first = admission.passes.front();
+  const ObservedPass& last = admission.passes.back();
+  const uint64_t count = last.step - first.step;
+  return count < kMinPasses
+             ? Duration(0)
+             : (last.at - first.at) / static_cast<int64_t>(count);
+}
+
+// Streams that may run for passes to stay short enough after a jump too.
+double LimitAtShifts(const RankAdmission& admission, TimePoint now) {
+  const double cost = PeakCostOf(admission.costs, now);
+  if (cost <= 0) {
+    return MaxLimitOf(admission);
+  }
+  const double pass_budget =
+      kShiftPassFraction * SecondsOf(admission.settings.longest_pause) -
+      SecondsOf(admission.settings.min_pass);
+  const double least =
+      std::max(kMinLimit, kMinSlotFractionAtShifts * admission.settings.slots);
+  return std::clamp(pass_budget / cost, least, MaxLimitOf(admission));
+}
+
+// Places that will be taken of the offers that are open.
+double ExpectedReservations(const RankAdmission& admission, TimePoint now) {
+  const auto open =
+      std::count_if(admission.open_offers.begin(), admission.open_offers.end(),
+                    [now](TimePoint at) { return now - at <= kOfferLifetime; });
+  // While a group fills, the first ranks to open are the only ones to offer.
+  const bool is_filling = admission.start_limit < MaxLimitOf(admission);
+  return static_cast<double>(open) / (is_filling ? 1 : kProbesPerPermit);
+}
+
+// Failure: a group opens, its first passes hold no writers and are short, and
+// all that waited is let in at once; a few passes later every stream is late.
+void ResetStartLimitOnOpen(RankAdmission& admission, const RankLoad& load) {
+  const RankLoad& before = admission.reported;
+  const bool has_opened =
+      load.is_open && (!before.is_open || load.epoch != before.epoch);
+  if (has_opened) {
+    admission.start_limit = kInitialLimit;
+  }
+}
+
+void UpdateSlowness(RankAdmission& admission, TimePoint now) {
+  if (PassOf(admission, now) < admission.settings.longest_pause) {
+    admission.slow_since.reset();
+  } else if (!admission.slow_since) {
+    admission.slow_since = now;
+  }
+}
+
+void UpdateCosts(RankAdmission& admission, Duration elapsed, TimePoint now) {
+  RecordCost(admission.costs,
+             {.running = admission.reported.running,
+              .excess = MeanPass(admission) - admission.settings.min_pass,
+              .elapsed = elapsed,
+              .min_running = kMinRunningFraction * admission.settings.slots},
+             now);
+  const double running = admission.costs.mean_running;
+  if (running > kOverloadedFraction * MaxLimitOf(admission)) {
+    admission.is_overloaded = true;
+  } else if (running < kRelievedFraction * LimitAtShifts(admission, now)) {
+    admission.is_overloaded = false;
+  }
+}
+
+}  // namespace
+
+void RecordReport(RankAdmission& admission,
+                  const RankLoad& load,
+                  TimePoint now) {
+  const bool has_work = load.running + load.queued > 0;
+  const bool is_continuing = load.epoch == admission.reported.epoch &&
+                             load.step >= admission.reported.step && has_work;
+  if (!is_continuing) {
+    admission.passes.clear();
+  }
+  ResetStartLimitOnOpen(admission, load);
+  admission.reported = load;
+  const TimePoint previous_report_at =
+      std::exchange(admission.reported_at, now);
+  if (has_work &&
+      (admission.passes.empty() || admission.passes.back().step != load.step)) {
+    if (!admission.passes.empty() &&
+        SecondsOf(now - admission.passes.back().at) <
+            kShortPassFraction * SecondsOf(admission.settings.longest_pause)) {
+      admission.start_limit = std::min(
+          MaxLimitOf(admission), admission.start_limit + kLimitGrowthPerPass);
+    }
+    admission.passes.push_back({load.step, now});
+  }
+  while (admission.passes.size() > 3 &&
+         now - admission.passes.front().at > kPassWindow) {
+    admission.passes.pop_front();
+  }
+  std::erase_if(admission.reservations, [now](const auto& item) {
+    return now - item.second > kReservationTimeout;
+  });
+  UpdateSlowness(admission, now);
+  UpdateCosts(admission, now - previous_report_at, now);
+}
+
+void RecordReservation(RankAdmission& admission,
+                       Reservation reservation,
+                       TimePoint now) {
+  admission.reservations[std::move(reservation)] = now;
+  ++admission.costs.new_reservations;
+}
+
+void RecordOffer(RankAdmission& admission, TimePoint now) {
+  while (!admission.open_offers.empty() &&
+         now - admission.open_offers.front() > kOfferLifetime) {
+    admission.open_offers.pop_front();
+  }
+  admission.open_offers.push_back(now);
+}
+
+void RemoveReservation(RankAdmission& admission,
+                       const Reservation& reservation) {
+  admission.reservations.erase(reservation);
+}
+
+uint32_t LoadOf(const RankAdmission& admission) {
+  return admission.reported.running + admission.reported.queued +
+         static_cast<uint32_t>(admission.reservations.size());
+}
+
+Duration PassOf(const RankAdmission& admission, TimePoint now) {
+  if (admission.passes.empty()) {
+    return Duration(0);
+  }
+  const ObservedPass& first = admission.passes.front();
+  const ObservedPass& last = admission.passes.back();
+  const Duration under_way = now - last.at;
+  if (last.step <= first.step) {
+    return under_way;
+  }
+  return std::max(under_way, (last.at - first.at) /
+                                 static_cast<int64_t>(last.step - first.step));
+}
+
+double LimitOf(const RankAdmission& admission, TimePoint now) {
+  const double min_pass = SecondsOf(admission.settings.min_pass);
+  const double excess = SecondsOf(PassOf(admission, now)) - min_pass;
+  if (excess <= 0 || admission.reported.running == 0) {
+    return std::min(kInitialLimit, MaxLimitOf(admission));
+  }
+  const double max_limit = admission.is_overloaded
+                               ? LimitAtShifts(admission, now)
+                               : MaxLimitOf(admission);
+  const double most =
+      std::max(kMinLimit, std::min(admission.start_limit, max_limit));
+  const double per_stream = excess / admission.reported.running;
+  const double pass_budget =
+      kPassBudgetFraction * SecondsOf(admission.settings.longest_pause) -
+      min_pass;
+  return std::clamp(pass_budget / per_stream, kMinLimit, most);
+}
+
+PermitOffer OfferOf(const RankAdmission& admission,
+                    bool is_late,
+                    TimePoint now) {
+  PermitOffer offer{.load = LoadOf(admission),
+                    .limit = LimitOf(admission, now),
+                    .pass = PassOf(admission, now)};
+  offer.is_slow =
+      admission.slow_since && now - *admission.slow_since > kSlowDelay;
+  const double load = static_cast<double>(offer.load) +
+                      ExpectedReservations(admission, now) + 1;
+  const auto longest = SecondsOf(admission.settings.longest_pause);
+  const double pass = SecondsOf(offer.pass);
+  double longest_pass = kPassBudgetFraction * longest;
+  if (is_late && offer.is_slow) {
+    offer.limit = MaxLimitOf(admission);
+    longest_pass = kMaxSlowPassFactor * longest;
+  } else if (is_late) {
+    offer.limit *= kLateLimitFraction;
+  }
+  const bool has_permit = pass < longest_pass && load <= offer.limit;
+  offer.is_admitting = admission.reported.is_open &&
+                       now - admission.reported_at < kMaxReportAge &&
+                       admission.reported.pace < kSlowPace && has_permit;
+  return offer;
+}
+
+}  // namespace bramleyspan::admission
--- a/Libraries/LibAdmission/RankPlaces.h
+++ b/Libraries/LibAdmission/RankAdmission.h
@@ -21,14 +21,14 @@
 
 namespace bramleyspan::admission {
 
-struct RankPlacesSettings {
+struct RankAdmissionSettings {
   // Streams that the rank's engine runs at once.
   uint32_t slots = 12;
   // The longest pause between a stream's events that is on time. An event comes
   // with each pass.
   Duration longest_pause = std::chrono::milliseconds(120);
   // What a pass takes with hardly anything to do.
-  Duration least_pass = std::chrono::milliseconds(18);
+  Duration min_pass = std::chrono::milliseconds(18);
 };
 
 // What the rank says of itself.
@@ -44,30 +44,30 @@
 };
 
 // A pass, and when it was first seen.
-struct SeenPass {
+struct ObservedPass {
   uint64_t step = 0;
   TimePoint at;
 };
 
 // Names a place that was taken: the gateway's address and its own number.
-struct TakenPlace {
+struct Reservation {
   std::string gateway;
   uint64_t number = 0;
 
-  auto operator<=>(const TakenPlace&) const = default;
+  auto operator<=>(const Reservation&) const = default;
 };
 
-struct RankPlaces {
-  RankPlacesSettings settings;
+struct RankAdmission {
+  RankAdmissionSettings settings;
   RankLoad reported;
   TimePoint reported_at;
   // Places that gateways took whose streams have not begun. An engine counts a
   // stream only once it runs, a tenth of a second after it came.
-  std::map<TakenPlace, TimePoint> taken;
+  std::map<Reservation, TimePoint> reservations;
   // When places were offered that nobody may have taken yet.
-  std::deque<TimePoint> offered;
+  std::deque<TimePoint> open_offers;
   // Passes of the last moment, the oldest first.
-  std::deque<SeenPass> passes;
+  std::deque<ObservedPass> passes;
   StreamCosts costs;
   // Whether nearly all that may run has been running for a while.
   bool is_overloaded = false;
@@ -79,7 +79,7 @@
 };
 
 // An agent's answer to a gateway that looks for a place.
-struct PlaceOffer {
+struct PermitOffer {
   bool is_admitting = false;
   // Every stream of the group is late for a while, because a rank is slow.
   bool is_slow = false;
@@ -90,10 +90,14 @@
 };
 
 // Takes the rank's newest report.
-void NoteReport(RankPlaces& places, const RankLoad& load, TimePoint now);
+void RecordReport(RankAdmission& admission,
+                  const RankLoad& load,
+                  TimePoint now);
 
 // A gateway took a place.
-void NoteTaken(RankPlaces& places, TakenPlace place, TimePoint now);
+void RecordReservation(RankAdmission& admission,
+                       Reservation reservation,
+                       TimePoint now);
 
 // A place was offered to a gateway that asks several ranks at once.
 //
@@ -102,26 +106,29 @@
 // far above their limit and passes that make every stream late. So an offer
 // counts for the part of a place that will be taken of it, until the gateway
 // has decided.
-void NoteOffered(RankPlaces& places, TimePoint now);
+void RecordOffer(RankAdmission& admission, TimePoint now);
 
 // The stream that took it has begun or is over.
-void NoteSettled(RankPlaces& places, const TakenPlace& place);
+void RemoveReservation(RankAdmission& admission,
+                       const Reservation& reservation);
 
 // Streams at the rank, those on their way among them; offers that are open are
 // not.
-uint32_t LoadOf(const RankPlaces& places);
+uint32_t LoadOf(const RankAdmission& admission);
 
 // How long a pass took lately, the one under way included.
-Duration PassOf(const RankPlaces& places, TimePoint now);
+Duration PassOf(const RankAdmission& admission, TimePoint now);
 
 // Streams that may run at once for passes to stay short enough. A pass grows
 // with the streams by what the last ones took, so that the limit is right at
 // once when a slow rank has recovered or the map has been switched.
-double LimitOf(const RankPlaces& places, TimePoint now);
+double LimitOf(const RankAdmission& admission, TimePoint now);
 
 // Whether there is a place. A stream that is late in any case (`is_late`) may
 // also join a group whose streams are all late: that is worth less than one in
 // time and more than a refusal.
-PlaceOffer OfferOf(const RankPlaces& places, bool is_late, TimePoint now);
+PermitOffer OfferOf(const RankAdmission& admission,
+                    bool is_late,
+                    TimePoint now);
 
 }  // namespace bramleyspan::admission
--- a/Libraries/LibAdmission/PrefixMemory.h
+++ b/Libraries/LibAdmission/RecentPrefixes.h
@@ -13,21 +13,21 @@
 
 // Prefixes with the number of their last use. Plain values, so that a copy of
 // the state stands alone.
-struct PrefixMemory {
-  struct Known {
+struct RecentPrefixes {
+  struct Entry {
     uint32_t tokens = 0;
     uint64_t last_use = 0;
   };
   size_t capacity = 256;
   uint64_t uses = 0;
-  std::unordered_map<uint64_t, Known> by_prefix;
+  std::unordered_map<uint64_t, Entry> by_prefix;
   std::map<uint64_t, uint64_t> prefix_by_use;
 };
 
 // A prompt of which the first `tokens` have this prefix was forwarded.
-void Remember(PrefixMemory& memory, uint64_t prefix, uint32_t tokens);
+void RecordPrefix(RecentPrefixes& prefixes, uint64_t prefix, uint32_t tokens);
 
 // The tokens of this prefix that are probably cached; zero for none.
-uint32_t CachedTokens(const PrefixMemory& memory, uint64_t prefix);
+uint32_t CachedTokens(const RecentPrefixes& prefixes, uint64_t prefix);
 
 }  // namespace bramleyspan::admission
--- a/Libraries/LibAdmission/StreamCosts.cc
+++ b/Libraries/LibAdmission/StreamCosts.cc
@@ -11,60 +11,61 @@
 using Seconds = std::chrono::duration<double>;
 
 // Jumps matter if a stream is likely to live to see one.
-constexpr double kLivesRemembered = 3;
-constexpr Duration kLeastRemembered = std::chrono::seconds(1);
-constexpr Duration kMostRemembered = std::chrono::seconds(8);
+constexpr double kLifetimesRetained = 3;
+constexpr Duration kMinRetention = std::chrono::seconds(1);
+constexpr Duration kMaxRetention = std::chrono::seconds(8);
 constexpr Duration kAveragingWindow = std::chrono::seconds(2);
-constexpr double kLeastTakenPerSecond = 1e-3;
+constexpr double kMinReservationsPerSecond = 1e-3;
 
 // By Little's law a stream lasts as long as it takes to fill the running ones
 // anew.
-Duration RememberedFor(const StreamCosts& costs) {
-  const Seconds life(costs.usual_running /
-                     std::max(costs.usual_taken, kLeastTakenPerSecond));
-  const Seconds remembered =
-      std::clamp<Seconds>(kLivesRemembered * life, Seconds(kLeastRemembered),
-                          Seconds(kMostRemembered));
-  return std::chrono::duration_cast<Duration>(remembered);
+Duration RetentionOf(const StreamCosts& costs) {
+  const Seconds lifetime(
+      costs.mean_running /
+      std::max(costs.reservations_per_second, kMinReservationsPerSecond));
+  const Seconds retention =
+      std::clamp<Seconds>(kLifetimesRetained * lifetime, Seconds(kMinRetention),
+                          Seconds(kMaxRetention));
+  return std::chrono::duration_cast<Duration>(retention);
 }
 
-void Average(StreamCosts& costs, const CostSample& sample) {
+void UpdateAverages(StreamCosts& costs, const CostSample& sample) {
   const double elapsed = Seconds(sample.elapsed).count();
   if (elapsed <= 0) {
     return;
   }
   const double share =
       1 - std::exp(-elapsed / Seconds(kAveragingWindow).count());
-  costs.usual_running += share * (sample.running - costs.usual_running);
-  const double taken = std::exchange(costs.newly_taken, 0U);
-  costs.usual_taken += share * (taken / elapsed - costs.usual_taken);
+  costs.mean_running += share * (sample.running - costs.mean_running);
+  const double reserved = std::exchange(costs.new_reservations, 0U);
+  costs.reservations_per_second +=
+      share * (reserved / elapsed - costs.reservations_per_second);
 }
 
 }  // namespace
 
-void NoteCost(StreamCosts& costs, const CostSample& sample, TimePoint now) {
-  Average(costs, sample);
-  while (!costs.dearest.empty() &&
-         now - costs.dearest.front().at > kMostRemembered) {
-    costs.dearest.pop_front();
+void RecordCost(StreamCosts& costs, const CostSample& sample, TimePoint now) {
+  UpdateAverages(costs, sample);
+  while (!costs.peaks.empty() && now - costs.peaks.front().at > kMaxRetention) {
+    costs.peaks.pop_front();
   }
-  if (sample.grown <= Duration(0) || costs.usual_running < 1) {
+  if (sample.excess <= Duration(0) || costs.mean_running < 1) {
     return;
   }
-  const double cost = Seconds(sample.grown).count() /
-                      std::max(costs.usual_running, sample.least_running);
-  while (!costs.dearest.empty() && costs.dearest.back().seconds <= cost) {
-    costs.dearest.pop_back();
+  const double cost = Seconds(sample.excess).count() /
+                      std::max(costs.mean_running, sample.min_running);
+  while (!costs.peaks.empty() && costs.peaks.back().seconds <= cost) {
+    costs.peaks.pop_back();
   }
-  costs.dearest.push_back({cost, now});
+  costs.peaks.push_back({cost, now});
 }
 
-double DearestCostOf(const StreamCosts& costs, TimePoint now) {
-  const Duration remembered = RememberedFor(costs);
+double PeakCostOf(const StreamCosts& costs, TimePoint now) {
+  const Duration retention = RetentionOf(costs);
   const auto found = std::find_if(
-      costs.dearest.begin(), costs.dearest.end(),
-      [&](const SeenCost& cost) { return now - cost.at <= remembered; });
-  return found == costs.dearest.end() ? 0 : found->seconds;
+      costs.peaks.begin(), costs.peaks.end(),
+      [&](const ObservedCost& cost) { return now - cost.at <= retention; });
+  return found == costs.peaks.end() ? 0 : found->seconds;
 }
 
 }  // namespace bramleyspan::admission
--- a/Libraries/LibAdmission/StreamCosts.h
+++ b/Libraries/LibAdmission/StreamCosts.h
@@ -14,7 +14,7 @@
 
 namespace bramleyspan::admission {
 
-struct SeenCost {
+struct ObservedCost {
   double seconds = 0;
   TimePoint at;
 };
@@ -22,13 +22,13 @@
 struct StreamCosts {
   // Running streams and places taken in a second, averaged over the last
   // seconds.
-  double usual_running = 0;
-  double usual_taken = 0;
+  double mean_running = 0;
+  double reservations_per_second = 0;
   // Places taken since the last report.
-  uint32_t newly_taken = 0;
+  uint32_t new_reservations = 0;
   // The dearest streams of the last seconds, the dearest first; each is newer
   // than the one before it.
-  std::deque<SeenCost> dearest;
+  std::deque<ObservedCost> peaks;
 };
 
 // What a report shows.
@@ -36,17 +36,17 @@
   uint32_t running = 0;
   // What passes took beyond one with hardly anything to do; zero if too few
   // were seen to tell.
-  Duration grown{};
+  Duration excess{};
   // Since the last report.
   Duration elapsed{};
   // Streams that a rank runs at least if its load is like its group's.
-  double least_running = 1;
+  double min_running = 1;
 };
 
-void NoteCost(StreamCosts& costs, const CostSample& sample, TimePoint now);
+void RecordCost(StreamCosts& costs, const CostSample& sample, TimePoint now);
 
 // The dearest stream of the last few lives of one, in seconds of a pass; zero
 // if nothing is known.
-double DearestCostOf(const StreamCosts& costs, TimePoint now);
+double PeakCostOf(const StreamCosts& costs, TimePoint now);
 
 }  // namespace bramleyspan::admission
--- a/Libraries/LibGateway/RouteTable.h
+++ b/Libraries/LibGateway/RouteTable.h
@@ -60,7 +60,7 @@
   // The expert map's shape; no sets if the engine has no experts.
   uint32_t sets = 0;
   uint32_t experts = 0;
-  uint32_t places_per_rank = 0;
+  uint32_t expert_slots_per_rank = 0;
   uint32_t spare = 0;
   double expert_megabytes = 0;
   double link_megabits_per_second = 0;
--- a/Libraries/LibMapSwitch/Tree.cc
+++ b/Libraries/LibMapSwitch/Tree.cc
@@ -27,7 +27,7 @@
   return 1 + (tree.size - 1 - leader) / leaders;
 }
 
-bool is_teller(const Tree& tree, uint32_t rank, uint64_t step) {
+bool is_reporter(const Tree& tree, uint32_t rank, uint64_t step) {
   const uint32_t leaders = CountLeaders(tree);
   return leaders != 0 && rank != 0 && (rank - 1) % leaders == step % leaders;
 }
--- a/Libraries/LibMapSwitch/Tree.h
+++ b/Libraries/LibMapSwitch/Tree.h
@@ -28,6 +28,6 @@
 
 // Whether it is a rank's turn to tell what it chose in a pass: that of the
 // ranks of one leader, which sums them up.
-bool is_teller(const Tree& tree, uint32_t rank, uint64_t step);
+bool is_reporter(const Tree& tree, uint32_t rank, uint64_t step);
 
 }  // namespace bramleyspan::mapswitch
--- a/Libraries/LibPlacement/Copies.cc
+++ b/Libraries/LibPlacement/Copies.cc
@@ -41,23 +41,23 @@
   plan.skew_after = plan.skew_before;
   // Some copies lower the skew only together with those that follow.
   std::vector<detail::CopyStep> steps;
-  while (steps.size() < limits.most_copies) {
+  while (steps.size() < limits.max_copies) {
     const auto step = search.FindBestStep();
     if (!step) {
       break;
     }
-    search.Make(*step);
+    search.Apply(*step);
     steps.push_back(*step);
     const double skew = search.skew();
     const auto more = static_cast<double>(steps.size() - plan.copies);
-    if (plan.skew_after - skew >= more * limits.least_gain) {
+    if (plan.skew_after - skew >= more * limits.min_gain) {
       plan.skew_after = skew;
       plan.copies = static_cast<uint32_t>(steps.size());
     }
   }
   steps.resize(plan.copies);
   for (const detail::CopyStep& step : steps) {
-    detail::MakeIn(plan.lists, step);
+    detail::ApplyStep(plan.lists, step);
     ++new_on_rank[step.rank];
   }
   return plan;
--- a/Libraries/LibPlacement/Copies.h
+++ b/Libraries/LibPlacement/Copies.h
@@ -15,16 +15,16 @@
 using RankLists = std::vector<std::vector<uint16_t>>;
 
 struct CopyLimits {
-  uint32_t places_per_rank = 0;
+  uint32_t expert_slots_per_rank = 0;
   // New experts that a rank can take in one set at a time.
   uint32_t spare = 0;
   // Copies in this set, at most.
-  uint32_t most_copies = 3;
+  uint32_t max_copies = 3;
   // New experts that a rank can take in all sets together; copies share its
   // link, and the map waits for the last one. 0: any number.
-  uint32_t most_new_on_rank = 0;
+  uint32_t max_new_on_rank = 0;
   // Copies must lower the skew by this much each; some do so only together.
-  double least_gain = 0.03;
+  double min_gain = 0.03;
   // How many times as long as usual each rank takes; empty if none is slow. A
   // slow rank is relieved of experts, since all others wait for it.
   std::vector<double> paces = {};
--- a/Libraries/LibPlacement/CopySearch.cc
+++ b/Libraries/LibPlacement/CopySearch.cc
@@ -12,11 +12,11 @@
 constexpr double kRememberedWeight = 0.3;
 // A copy that waits behind another on its rank's link comes later; it counts
 // as this much more load.
-constexpr double kLinkWeight = 0.02;
+constexpr double kQueuedCopyLoad = 0.02;
 
 // Of several ranks that are equally loaded none lowers the skew by itself. The
 // sum of these weights falls with each, and is ruled by the most loaded ones.
-double WeightOf(double load) {
+double LoadPenalty(double load) {
   const double square = load * load;
   return square * square * square * square;
 }
@@ -57,7 +57,7 @@
   return rank < paces.size() ? std::max(1.0, paces[rank]) : 1;
 }
 
-void MakeIn(RankLists& lists, const CopyStep& step) {
+void ApplyStep(RankLists& lists, const CopyStep& step) {
   if (step.dropped) {
     std::erase(lists[step.rank], *step.dropped);
   }
@@ -90,10 +90,10 @@
   this->loads = LoadsOf(this->lists, this->shares, this->holders);
   const double total =
       std::accumulate(this->loads.begin(), this->loads.end(), 0.0);
-  this->scale =
+  this->load_per_share =
       total == 0 ? 0 : static_cast<double>(this->loads.size()) / total;
   for (double& load : this->loads) {
-    load *= this->scale;
+    load *= this->load_per_share;
   }
 }
 
@@ -109,39 +109,40 @@
   return most;
 }
 
-void CopySearch::Change(size_t rank, double by) {
+void CopySearch::AddChange(size_t rank, double delta) {
   for (LoadChange& change : this->changes) {
     if (change.rank == rank) {
-      change.by += by;
+      change.delta += delta;
       return;
     }
   }
-  this->changes.push_back({rank, by});
+  this->changes.push_back({rank, delta});
 }
 
-void CopySearch::Share(uint16_t expert,
-                       uint32_t after,
-                       std::optional<size_t> comes,
-                       std::optional<size_t> leaves) {
-  const double all = this->shares[expert] * this->scale;
+void CopySearch::Redistribute(uint16_t expert,
+                              uint32_t after,
+                              std::optional<size_t> new_holder,
+                              std::optional<size_t> former_holder) {
+  const double all = this->shares[expert] * this->load_per_share;
   const double part_before = all / std::max(1U, this->holders[expert]);
   const double part_after = all / std::max(1U, after);
   for (const size_t rank : this->ranks_of[expert]) {
-    this->Change(rank, (rank == leaves ? 0 : part_after) - part_before);
+    this->AddChange(rank,
+                    (rank == former_holder ? 0 : part_after) - part_before);
   }
-  if (comes) {
-    this->Change(*comes, part_after);
+  if (new_holder) {
+    this->AddChange(*new_holder, part_after);
   }
 }
 
 void CopySearch::FindChanges(const CopyStep& step) {
   this->changes.clear();
   const uint32_t before = this->holders[step.expert];
-  this->Share(step.expert, step.moved_from ? before : before + 1, step.rank,
-              step.moved_from);
+  this->Redistribute(step.expert, step.moved_from ? before : before + 1,
+                     step.rank, step.moved_from);
   if (step.dropped) {
-    this->Share(*step.dropped, this->holders[*step.dropped] - 1, std::nullopt,
-                step.rank);
+    this->Redistribute(*step.dropped, this->holders[*step.dropped] - 1,
+                       std::nullopt, step.rank);
   }
 }
 
@@ -150,36 +151,36 @@
   double gain = 0;
   for (const LoadChange& change : this->changes) {
     const double before = this->loads[change.rank];
-    double after = before + change.by;
+    double after = before + change.delta;
     if (change.rank == step.rank) {
-      after += kLinkWeight * static_cast<double>(queued);
+      after += kQueuedCopyLoad * static_cast<double>(queued);
     }
-    gain += WeightOf(this->TimeOf(change.rank, before)) -
-            WeightOf(this->TimeOf(change.rank, after));
+    gain += LoadPenalty(this->TimeOf(change.rank, before)) -
+            LoadPenalty(this->TimeOf(change.rank, after));
   }
   return gain;
 }
 
-double CopySearch::ValueOf(uint16_t expert) const {
+double CopySearch::DemandOf(uint16_t expert) const {
   const double present = this->shares[expert];
-  const double past =
+  const double remembered_share =
       expert < this->remembered.size() ? this->remembered[expert] : 0;
-  return std::max(present, kRememberedWeight * past);
+  return std::max(present, kRememberedWeight * remembered_share);
 }
 
-bool CopySearch::is_known(uint16_t expert) const {
+bool CopySearch::is_in_set(uint16_t expert) const {
   return expert < this->shares.size();
 }
 
 std::optional<uint16_t> CopySearch::FindDrop(size_t rank) const {
   std::optional<uint16_t> found;
   for (const uint16_t expert : this->lists[rank]) {
-    if (!this->is_known(expert) || this->holders[expert] < 2 ||
+    if (!this->is_in_set(expert) || this->holders[expert] < 2 ||
         is_held(this->added[rank], expert)) {
       continue;
     }
-    if (!found || this->ValueOf(expert) / this->holders[expert] <
-                      this->ValueOf(*found) / this->holders[*found]) {
+    if (!found || this->DemandOf(expert) / this->holders[expert] <
+                      this->DemandOf(*found) / this->holders[*found]) {
       found = expert;
     }
   }
@@ -193,7 +194,7 @@
     return std::nullopt;
   }
   CopyStep step{.expert = expert, .rank = rank, .moved_from = moved_from};
-  if (this->lists[rank].size() >= this->limits.places_per_rank) {
+  if (this->lists[rank].size() >= this->limits.expert_slots_per_rank) {
     step.dropped = this->FindDrop(rank);
     if (!step.dropped) {
       return std::nullopt;
@@ -207,11 +208,11 @@
   return this->new_elsewhere[rank] + this->added[rank].size();
 }
 
-bool CopySearch::is_taking_copies(size_t rank) const {
-  const bool is_link_taken =
-      this->limits.most_new_on_rank != 0 &&
-      this->QueuedAt(rank) >= this->limits.most_new_on_rank;
-  return !is_link_taken && this->added[rank].size() < this->limits.spare;
+bool CopySearch::is_accepting_copies(size_t rank) const {
+  const bool is_link_full =
+      this->limits.max_new_on_rank != 0 &&
+      this->QueuedAt(rank) >= this->limits.max_new_on_rank;
+  return !is_link_full && this->added[rank].size() < this->limits.spare;
 }
 
 std::vector<size_t> CopySearch::SlowestRanks(size_t most) const {
@@ -222,10 +223,10 @@
   return ranks;
 }
 
-std::vector<size_t> CopySearch::IdlestRanks(size_t most) const {
+std::vector<size_t> CopySearch::LeastLoadedRanks(size_t most) const {
   std::vector<size_t> ranks;
   for (size_t rank = 0; rank < this->loads.size(); ++rank) {
-    if (this->is_taking_copies(rank)) {
+    if (this->is_accepting_copies(rank)) {
       ranks.push_back(rank);
     }
   }
@@ -246,16 +247,16 @@
   ranks.resize(most);
 }
 
-std::optional<CopyStep> CopySearch::FindRelief(
+std::optional<CopyStep> CopySearch::FindReliefStep(
     size_t slow,
-    const std::vector<size_t>& idle) {
+    const std::vector<size_t>& receivers) {
   std::optional<CopyStep> best;
   for (const uint16_t expert : this->lists[slow]) {
-    if (!this->is_known(expert)) {
+    if (!this->is_in_set(expert)) {
       continue;
     }
     const bool is_new = is_held(this->added[slow], expert);
-    for (const size_t rank : idle) {
+    for (const size_t rank : receivers) {
       for (const bool is_move : {false, true}) {
         if (rank == slow || (is_move && is_new)) {
           continue;
@@ -273,34 +274,34 @@
 
 std::optional<CopyStep> CopySearch::FindBestStep() {
   constexpr size_t kSlowRanksTried = 3;
-  constexpr size_t kIdleRanksTried = 16;
-  const std::vector<size_t> idle = this->IdlestRanks(kIdleRanksTried);
+  constexpr size_t kReceiversTried = 16;
+  const std::vector<size_t> receivers = this->LeastLoadedRanks(kReceiversTried);
   for (const size_t slow : this->SlowestRanks(kSlowRanksTried)) {
-    if (const auto step = this->FindRelief(slow, idle)) {
+    if (const auto step = this->FindReliefStep(slow, receivers)) {
       return step;
     }
   }
   return std::nullopt;
 }
 
-void CopySearch::Make(const CopyStep& step) {
-  MakeIn(this->lists, step);
+void CopySearch::Apply(const CopyStep& step) {
+  ApplyStep(this->lists, step);
   this->FindChanges(step);
   for (const LoadChange& change : this->changes) {
-    this->loads[change.rank] += change.by;
+    this->loads[change.rank] += change.delta;
   }
   if (step.dropped) {
-    this->TakeAway(*step.dropped, step.rank);
+    this->RemoveHolder(*step.dropped, step.rank);
   }
   if (step.moved_from) {
-    this->TakeAway(step.expert, *step.moved_from);
+    this->RemoveHolder(step.expert, *step.moved_from);
   }
   this->ranks_of[step.expert].push_back(step.rank);
   ++this->holders[step.expert];
   this->added[step.rank].push_back(step.expert);
 }
 
-void CopySearch::TakeAway(uint16_t expert, size_t rank) {
+void CopySearch::RemoveHolder(uint16_t expert, size_t rank) {
   std::erase(this->ranks_of[expert], rank);
   --this->holders[expert];
 }
--- a/Libraries/LibPlacement/CopySearch.h
+++ b/Libraries/LibPlacement/CopySearch.h
@@ -29,7 +29,7 @@
   double gain = 0;
 };
 
-void MakeIn(RankLists& lists, const CopyStep& step);
+void ApplyStep(RankLists& lists, const CopyStep& step);
 
 class CopySearch {
  public:
@@ -45,24 +45,24 @@
   // The best step for the slowest rank that has one.
   std::optional<CopyStep> FindBestStep();
 
-  void Make(const CopyStep& step);
+  void Apply(const CopyStep& step);
 
  private:
   struct LoadChange {
     size_t rank = 0;
-    double by = 0;
+    double delta = 0;
   };
 
   double TimeOf(size_t rank, double load) const;
 
-  void Change(size_t rank, double by);
+  void AddChange(size_t rank, double delta);
 
   // Takes the expert's part from its holders, and gives the new part to those
   // that hold it after the step.
-  void Share(uint16_t expert,
-             uint32_t after,
-             std::optional<size_t> comes,
-             std::optional<size_t> leaves);
+  void Redistribute(uint16_t expert,
+                    uint32_t after,
+                    std::optional<size_t> new_holder,
+                    std::optional<size_t> former_holder);
 
   // Finds what the step changes; only the ranks that hold its experts do.
   void FindChanges(const CopyStep& step);
@@ -71,10 +71,10 @@
   // behind `queued` others.
   double GainOf(const CopyStep& step, size_t queued);
 
-  double ValueOf(uint16_t expert) const;
+  double DemandOf(uint16_t expert) const;
 
   // Whether the set has it; what a rank says of itself may be wrong.
-  bool is_known(uint16_t expert) const;
+  bool is_in_set(uint16_t expert) const;
 
   // The copy that a full rank gives up; none if it cannot.
   std::optional<uint16_t> FindDrop(size_t rank) const;
@@ -86,22 +86,22 @@
   // Copies that the rank's link carries already, or will.
   size_t QueuedAt(size_t rank) const;
 
-  bool is_taking_copies(size_t rank) const;
+  bool is_accepting_copies(size_t rank) const;
 
   // The slowest ranks, the slowest first.
   std::vector<size_t> SlowestRanks(size_t most) const;
 
   // The idlest ranks that take copies.
-  std::vector<size_t> IdlestRanks(size_t most) const;
+  std::vector<size_t> LeastLoadedRanks(size_t most) const;
 
   template <typename Before>
   void KeepFirst(std::vector<size_t>& ranks, size_t most, Before before) const;
 
   // Only a copy of what a rank holds lowers its load.
-  std::optional<CopyStep> FindRelief(size_t slow,
-                                     const std::vector<size_t>& idle);
+  std::optional<CopyStep> FindReliefStep(size_t slow,
+                                         const std::vector<size_t>& receivers);
 
-  void TakeAway(uint16_t expert, size_t rank);
+  void RemoveHolder(uint16_t expert, size_t rank);
 
   const Shares& shares;
   const Shares& remembered;
@@ -115,7 +115,7 @@
   std::vector<std::vector<size_t>> ranks_of;
   std::vector<double> loads;
   // What turns a share into a load.
-  double scale = 0;
+  double load_per_share = 0;
   std::vector<LoadChange> changes;
 };
 
--- a/Libraries/LibPlacement/Drift.cc
+++ b/Libraries/LibPlacement/DemandTracker.cc
@@ -1,4 +1,4 @@
-#include "LibPlacement/Drift.h"
+#include "LibPlacement/DemandTracker.h"
 
 #include <algorithm>
 #include <cmath>
@@ -17,17 +17,17 @@
   return shares;
 }
 
-void Remember(Drift& drift) {
-  for (Pattern& pattern : drift.remembered) {
-    if (Distance(pattern, drift.present) < drift.settings.same) {
-      pattern = drift.present;
+void RecordPattern(DemandTracker& tracker) {
+  for (Pattern& pattern : tracker.remembered) {
+    if (Distance(pattern, tracker.present) < tracker.settings.same_threshold) {
+      pattern = tracker.present;
       return;
     }
   }
-  if (drift.remembered.size() >= drift.settings.most_patterns) {
-    drift.remembered.erase(drift.remembered.begin());
+  if (tracker.remembered.size() >= tracker.settings.max_patterns) {
+    tracker.remembered.erase(tracker.remembered.begin());
   }
-  drift.remembered.push_back(drift.present);
+  tracker.remembered.push_back(tracker.present);
 }
 
 }  // namespace
@@ -45,49 +45,49 @@
   return sum / static_cast<double>(left.size());
 }
 
-bool ObserveChoices(Drift& drift,
+bool ObserveChoices(DemandTracker& tracker,
                     const std::vector<std::vector<double>>& choices) {
-  if (drift.pending.size() != choices.size()) {
-    drift.pending = choices;
+  if (tracker.pending.size() != choices.size()) {
+    tracker.pending = choices;
   } else {
     for (size_t set = 0; set < choices.size(); ++set) {
       for (size_t i = 0; i < choices[set].size(); ++i) {
-        drift.pending[set][i] += choices[set][i];
+        tracker.pending[set][i] += choices[set][i];
       }
     }
   }
-  if (drift.pending.empty() ||
-      std::accumulate(drift.pending[0].begin(), drift.pending[0].end(), 0.0) <
-          drift.settings.least_choices) {
+  if (tracker.pending.empty() ||
+      std::accumulate(tracker.pending[0].begin(), tracker.pending[0].end(),
+                      0.0) < tracker.settings.min_choices) {
     return false;
   }
   Pattern sample;
-  for (const auto& set : drift.pending) {
+  for (const auto& set : tracker.pending) {
     sample.push_back(ToShares(set));
   }
-  drift.pending.clear();
-  if (drift.present.empty()) {
-    drift.present = std::move(sample);
+  tracker.pending.clear();
+  if (tracker.present.empty()) {
+    tracker.present = std::move(sample);
     return true;
   }
-  if (Distance(drift.present, sample) > drift.settings.jump) {
-    Remember(drift);
-    drift.present = std::move(sample);
-    ++drift.jumps;
+  if (Distance(tracker.present, sample) > tracker.settings.shift_threshold) {
+    RecordPattern(tracker);
+    tracker.present = std::move(sample);
+    ++tracker.shifts;
     return true;
   }
   for (size_t set = 0; set < sample.size(); ++set) {
     for (size_t i = 0; i < sample[set].size(); ++i) {
-      double& share = drift.present[set][i];
-      share += drift.settings.gain * (sample[set][i] - share);
+      double& share = tracker.present[set][i];
+      share += tracker.settings.sample_weight * (sample[set][i] - share);
     }
   }
   return false;
 }
 
-Shares RememberedShares(const Drift& drift, size_t set) {
+Shares RememberedShares(const DemandTracker& tracker, size_t set) {
   Shares shares;
-  for (const Pattern& pattern : drift.remembered) {
+  for (const Pattern& pattern : tracker.remembered) {
     if (set >= pattern.size()) {
       continue;
     }
--- a/Libraries/LibPlacement/Improve.cc
+++ b/Libraries/LibPlacement/Improve.cc
@@ -8,10 +8,10 @@
 namespace {
 
 // Ranks that are tried as the destination of a copy, the idlest first.
-constexpr size_t kDestinations = 6;
+constexpr size_t kDestinationsTried = 6;
 // A search ends when its best change lowers the potential by less than this
 // part: such a change cannot be felt in a step.
-constexpr double kLeastReduction = 0.002;
+constexpr double kMinReduction = 0.002;
 
 struct Search {
   const Shares& shares;
@@ -23,7 +23,7 @@
   std::vector<uint32_t> staged;
 };
 
-struct Choice {
+struct Candidate {
   Change change;
   double score = 0;
 };
@@ -56,10 +56,10 @@
   return search.staged[rank] < search.limits.staging_slots;
 }
 
-std::vector<Rank> FindIdlest(const std::vector<double>& loads) {
+std::vector<Rank> FindLeastLoaded(const std::vector<double>& loads) {
   std::vector<Rank> ranks(loads.size());
   std::iota(ranks.begin(), ranks.end(), 0);
-  const size_t count = std::min(kDestinations, ranks.size());
+  const size_t count = std::min(kDestinationsTried, ranks.size());
   std::partial_sort(
       ranks.begin(), ranks.begin() + static_cast<std::ptrdiff_t>(count),
       ranks.end(),
@@ -101,14 +101,14 @@
   }
 }
 
-void Consider(Search& search, Choice& best, Change change) {
+void Consider(Search& search, Candidate& best, Change change) {
   const double before = Potential(search.loads);
   const std::vector<double> loads = search.loads;
   ApplyWithLoads(search, change);
   const double reduction = (before - Potential(search.loads)) / before;
   Apply(search.layer, {.loads = change.drops, .drops = change.loads});
   search.loads = loads;
-  if (reduction < kLeastReduction) {
+  if (reduction < kMinReduction) {
     return;
   }
   const double score = reduction / PriceInLoads(change, search.limits);
@@ -120,7 +120,7 @@
 // Tries to bring `expert` from the slowest rank onto another: as a further
 // copy, as a move, and in place of a spare copy that stands there.
 void ConsiderDestination(Search& search,
-                         Choice& best,
+                         Candidate& best,
                          Expert expert,
                          Rank from,
                          Rank to) {
@@ -132,24 +132,24 @@
   }
   const std::vector<Expert> others = search.experts_on[to];
   for (const Expert other : others) {
-    const Copy victim{other, to};
+    const Copy displaced{other, to};
     if (is_spare(search, other)) {
-      Consider(search, best, {.loads = {load}, .drops = {victim}});
-      Consider(search, best, {.loads = {load}, .drops = {left, victim}});
+      Consider(search, best, {.loads = {load}, .drops = {displaced}});
+      Consider(search, best, {.loads = {load}, .drops = {left, displaced}});
     } else if (!is_on(search, other, from) && has_staging_room(search, from)) {
       Consider(search, best,
-               {.loads = {load, {other, from}}, .drops = {left, victim}});
+               {.loads = {load, {other, from}}, .drops = {left, displaced}});
     }
   }
 }
 
-Choice FindBestChange(Search& search) {
-  Choice best;
+Candidate FindBestChange(Search& search) {
+  Candidate best;
   const auto slowest = static_cast<Rank>(
       std::max_element(search.loads.begin(), search.loads.end()) -
       search.loads.begin());
   const std::vector<Expert> experts = search.experts_on[slowest];
-  for (const Rank to : FindIdlest(search.loads)) {
+  for (const Rank to : FindLeastLoaded(search.loads)) {
     if (to == slowest || !has_staging_room(search, to)) {
       continue;
     }
@@ -215,10 +215,10 @@
   search.loads = RankLoads(search.layer, shares, shape.ranks);
   std::vector<Change> changes;
   size_t loaded = 0;
-  while (loaded < limits.most_loads) {
-    Choice best = FindBestChange(search);
+  while (loaded < limits.max_loads) {
+    Candidate best = FindBestChange(search);
     loaded += best.change.loads.size();
-    if (best.score <= 0 || loaded > limits.most_loads) {
+    if (best.score <= 0 || loaded > limits.max_loads) {
       break;
     }
     Commit(search, best.change);
--- a/Libraries/LibPlacement/Improve.h
+++ b/Libraries/LibPlacement/Improve.h
@@ -21,7 +21,7 @@
 
 // What a search may do.
 struct SearchLimits {
-  size_t most_loads = 16;
+  size_t max_loads = 16;
   // Room beside the old weights: loads on one rank before the map switches.
   uint32_t staging_slots = 2;
   // Copies that came or went lately; a change that undoes one is rated as if
--- a/Libraries/LibPlacement/PassChoices.cc
+++ b/Libraries/LibPlacement/PassChoices.cc
@@ -9,43 +9,43 @@
 namespace {
 
 // Agents read their ranks every 30 ms, and datagrams take a millisecond.
-constexpr Duration kLongestWait = std::chrono::milliseconds(45);
+constexpr Duration kMaxPassAge = std::chrono::milliseconds(45);
 
 // Ranks that tell of one pass, more or less: enough for what is in demand.
-constexpr uint32_t kTellersPerPass = 8;
+constexpr uint32_t kReportersPerPass = 8;
 
-uint32_t CountTellers(uint32_t ranks, uint64_t step) {
+uint32_t CountReporters(uint32_t ranks, uint64_t step) {
   uint32_t count = 0;
   for (uint32_t rank = 0; rank < ranks; ++rank) {
-    count += is_teller(rank, ranks, step) ? 1 : 0;
+    count += is_reporter(rank, ranks, step) ? 1 : 0;
   }
   return count;
 }
 
-std::optional<Choices> GiveOut(PassChoices& pass) {
-  if (std::exchange(pass.is_given_out, true)) {
+std::optional<Choices> Emit(PassChoices& pass) {
+  if (std::exchange(pass.is_emitted, true)) {
     return std::nullopt;
   }
   return std::exchange(pass.sums, {});
 }
 
-void Begin(PassChoices& pass,
-           const RankChoices& chosen,
-           const ChoicesShape& shape,
-           TimePoint now) {
+void StartPass(PassChoices& pass,
+               const RankChoices& chosen,
+               const ChoicesShape& shape,
+               TimePoint now) {
   pass = {.epoch = chosen.epoch,
           .step = chosen.step,
           .sums = Choices(shape.sets, std::vector<double>(shape.experts, 0)),
           .ranks = {},
-          .began = now,
-          .is_given_out = false};
+          .started_at = now,
+          .is_emitted = false};
 }
 
-void Add(PassChoices& pass, const RankChoices& chosen) {
-  size_t at = 0;
+void AddCounts(PassChoices& pass, const RankChoices& chosen) {
+  size_t index = 0;
   for (auto& set : pass.sums) {
     for (double& sum : set) {
-      sum += chosen.counts[at++];
+      sum += chosen.counts[index++];
     }
   }
   pass.ranks.insert(chosen.rank);
@@ -53,9 +53,9 @@
 
 }  // namespace
 
-bool is_teller(uint32_t rank, uint32_t ranks, uint64_t step) {
-  const uint32_t turns = std::max(1U, ranks / kTellersPerPass);
-  return rank % turns == step % turns;
+bool is_reporter(uint32_t rank, uint32_t ranks, uint64_t step) {
+  const uint32_t period = std::max(1U, ranks / kReportersPerPass);
+  return rank % period == step % period;
 }
 
 PackedCounts PackCounts(std::span<const uint32_t> counts) {
@@ -94,27 +94,29 @@
   }
   const bool is_newer = chosen.epoch > pass.epoch ||
                         (chosen.epoch == pass.epoch && chosen.step > pass.step);
-  std::optional<Choices> overtaken;
+  std::optional<Choices> superseded;
   if (is_newer) {
-    overtaken = GiveOut(pass);
-    Begin(pass, chosen, shape, now);
-  } else if (pass.is_given_out || chosen.epoch != pass.epoch ||
+    superseded = Emit(pass);
+    StartPass(pass, chosen, shape, now);
+  } else if (pass.is_emitted || chosen.epoch != pass.epoch ||
              chosen.step != pass.step) {
     return std::nullopt;
   }
-  Add(pass, chosen);
+  AddCounts(pass, chosen);
   // One pass at a time: of two that are due the newer says more.
-  const uint32_t tellers =
-      shape.tellers != 0 ? shape.tellers : CountTellers(shape.ranks, pass.step);
-  if (pass.ranks.size() >= tellers) {
-    return GiveOut(pass);
+  const uint32_t reporters = shape.reporters != 0
+                                 ? shape.reporters
+                                 : CountReporters(shape.ranks, pass.step);
+  if (pass.ranks.size() >= reporters) {
+    return Emit(pass);
   }
-  return overtaken;
+  return superseded;
 }
 
-std::optional<Choices> TakeOverdue(PassChoices& pass, TimePoint now) {
-  const bool is_overdue = !pass.is_given_out && now - pass.began > kLongestWait;
-  return is_overdue ? GiveOut(pass) : std::nullopt;
+std::optional<Choices> EmitIfOverdue(PassChoices& pass, TimePoint now) {
+  const bool is_overdue =
+      !pass.is_emitted && now - pass.started_at > kMaxPassAge;
+  return is_overdue ? Emit(pass) : std::nullopt;
 }
 
 }  // namespace bramleyspan::placement
--- a/Libraries/LibPlacement/PassChoices.h
+++ b/Libraries/LibPlacement/PassChoices.h
@@ -24,7 +24,7 @@
 // Whether it is a rank's turn to tell what it chose in a pass. All ranks see
 // the same demand, and counts of 32 ranks in every pass would fill the owner's
 // link.
-bool is_teller(uint32_t rank, uint32_t ranks, uint64_t step);
+bool is_reporter(uint32_t rank, uint32_t ranks, uint64_t step);
 
 // Counts as small numbers of a unit: a byte each. What is lost is less than
 // 1/255 of the most chosen expert.
@@ -41,9 +41,9 @@
   uint64_t step = 0;
   Choices sums;
   std::set<uint32_t> ranks;
-  TimePoint began;
+  TimePoint started_at;
   // Whether this pass was given out; what comes late of it is dropped.
-  bool is_given_out = true;
+  bool is_emitted = true;
 };
 
 // What one rank chose up to the beginning of a pass.
@@ -60,8 +60,8 @@
   uint32_t ranks = 0;
   uint32_t sets = 0;
   uint32_t experts = 0;
-  // How many tell of each pass, if not those that `is_teller` names.
-  uint32_t tellers = 0;
+  // How many tell of each pass, if not those that `is_reporter` names.
+  uint32_t reporters = 0;
 };
 
 // Takes what a rank chose. Returns the choices of a pass that is whole, or of
@@ -73,6 +73,6 @@
 
 // Gives out a pass of which a rank has told nothing for too long: its agent may
 // be gone, or its datagram was lost.
-std::optional<Choices> TakeOverdue(PassChoices& pass, TimePoint now);
+std::optional<Choices> EmitIfOverdue(PassChoices& pass, TimePoint now);
 
 }  // namespace bramleyspan::placement
--- a/Libraries/LibPlacement/Placement.cc
+++ b/Libraries/LibPlacement/Placement.cc
@@ -40,7 +40,7 @@
   return copies;
 }
 
-std::vector<Expert> OrderByLoadOfACopy(const Shares& shares,
+std::vector<Expert> OrderByLoadPerCopy(const Shares& shares,
                                        const std::vector<uint32_t>& copies) {
   std::vector<Expert> order(shares.size());
   std::iota(order.begin(), order.end(), 0);
@@ -147,7 +147,7 @@
   layer.ranks_of.resize(shares.size());
   std::vector<double> loads(shape.ranks, 0.0);
   std::vector<uint32_t> used(shape.ranks, 0);
-  for (const Expert expert : OrderByLoadOfACopy(shares, copies)) {
+  for (const Expert expert : OrderByLoadPerCopy(shares, copies)) {
     auto& holders = layer.ranks_of[expert];
     for (uint32_t copy = 0; copy < copies[expert]; ++copy) {
       Rank best = shape.ranks;
--- a/Libraries/LibPlacement/Rebalancer.cc
+++ b/Libraries/LibPlacement/Rebalancer.cc
@@ -14,7 +14,7 @@
 constexpr double kBytesPerGigabyte = 1e9;
 // Below this weight a second of skew buys nothing; it also keeps the price
 // finite.
-constexpr double kLeastWeight = 1e-6;
+constexpr double kMinWeight = 1e-6;
 
 // The changes of one layer that are worth their price.
 struct LayerPlan {
@@ -31,15 +31,15 @@
 
 // What a load costs, in seconds of skew. The catalogue weighs a second of skew
 // against a gigabyte, so the exchange rate is the quotient of the weights.
-double CostOfALoad(const RebalanceSettings& settings) {
-  const double weight = std::max(settings.skew_weight, kLeastWeight);
+double CostOfLoad(const RebalanceSettings& settings) {
+  const double weight = std::max(settings.skew_weight, kMinWeight);
   return static_cast<double>(settings.expert_bytes) / kBytesPerGigabyte *
          settings.seconds_per_gigabyte * (1 - weight) / weight;
 }
 
 // How much dearer a load is for the part of the hour's budget that is spent.
 // Without it small gains eat the budget up and a sudden swap finds none left.
-double ScarcityOf(const RebalanceSettings& settings, size_t loads_left) {
+double ScarcityFactor(const RebalanceSettings& settings, size_t loads_left) {
   return static_cast<double>(settings.loads_per_hour) /
          static_cast<double>(loads_left);
 }
@@ -54,14 +54,14 @@
                            double slowest,
                            double effective_tokens) {
   const double sampling = slowest * settings.shape.ranks / effective_tokens;
-  const double wavering = settings.share_waver * slowest;
-  return std::sqrt(sampling + wavering * wavering);
+  const double noise = settings.share_noise * slowest;
+  return std::sqrt(sampling + noise * noise);
 }
 
 SearchLimits LimitsFor(const Rebalancer& rebalancer,
                        uint32_t layer,
-                       size_t most_loads) {
-  SearchLimits limits{.most_loads = most_loads,
+                       size_t max_loads) {
+  SearchLimits limits{.max_loads = max_loads,
                       .staging_slots = rebalancer.settings.staging_slots,
                       .recent = {},
                       .undo_price = rebalancer.settings.undo_price};
@@ -88,8 +88,8 @@
 
   const std::vector<double> loads = RankLoads(placement, shares, ranks);
   const double skew = ExpectedSkew(loads, settings.tokens_per_step);
-  const double least_gain =
-      settings.least_deviations *
+  const double min_gain =
+      settings.min_deviations *
       DeviationOfEstimate(settings,
                           *std::max_element(loads.begin(), loads.end()),
                           EffectiveTokens(popularity));
@@ -110,11 +110,11 @@
                             settings.tokens_per_step);
     const double gain = saved * seconds_per_skew;
     const double cost =
-        price * CostOfALoad(settings) * ScarcityOf(settings, loads_left);
+        price * CostOfLoad(settings) * ScarcityFactor(settings, loads_left);
     // A gain within the noise of the estimate would be chased back and forth.
-    const bool is_sure = saved > least_gain;
-    const bool is_worth_it = gain > settings.hysteresis * cost;
-    if (is_sure && is_worth_it &&
+    const bool is_significant = saved > min_gain;
+    const bool is_profitable = gain > settings.hysteresis * cost;
+    if (is_significant && is_profitable &&
         Seconds(gain - cost) > best.gain - best.cost) {
       best.gain = Seconds(gain);
       best.cost = Seconds(cost);
@@ -127,11 +127,11 @@
   return best;
 }
 
-void ForgetOldChanges(Rebalancer& rebalancer, TimePoint now) {
-  const Duration kept =
+void RemoveExpiredChanges(Rebalancer& rebalancer, TimePoint now) {
+  const Duration retention =
       std::max(kBudgetWindow, rebalancer.settings.settle_time);
   std::erase_if(rebalancer.recent, [&](const RecentChange& change) {
-    return now - change.at >= kept;
+    return now - change.at >= retention;
   });
 }
 
@@ -146,9 +146,9 @@
 }
 
 // Joins layer plans, the best value for a load first, within `loads_left`.
-Plan Join(const Rebalancer& rebalancer,
-          std::vector<LayerPlan> layers,
-          size_t loads_left) {
+Plan JoinLayerPlans(const Rebalancer& rebalancer,
+                    std::vector<LayerPlan> layers,
+                    size_t loads_left) {
   std::stable_sort(layers.begin(), layers.end(),
                    [](const LayerPlan& left, const LayerPlan& right) {
                      return left.gain * static_cast<double>(right.loads) >
@@ -171,7 +171,7 @@
   return plan;
 }
 
-void Remember(Rebalancer& rebalancer, const Plan& plan, TimePoint now) {
+void RecordChanges(Rebalancer& rebalancer, const Plan& plan, TimePoint now) {
   for (const ExpertLoad& load : plan.loads) {
     rebalancer.recent.push_back(
         {load.layer, {load.expert, load.rank}, now, /*is_load=*/true});
@@ -207,7 +207,7 @@
   if (rebalancer.is_plan_underway) {
     return {.plan = std::nullopt, .hold = HoldReason::kPlanUnderway};
   }
-  ForgetOldChanges(rebalancer, now);
+  RemoveExpiredChanges(rebalancer, now);
   const size_t loads_left = CountLoadsLeft(rebalancer, now);
   if (loads_left == 0) {
     return {.plan = std::nullopt, .hold = HoldReason::kBudgetSpent};
@@ -227,12 +227,12 @@
   if (!is_anything_observed) {
     return {.plan = std::nullopt, .hold = HoldReason::kNothingObserved};
   }
-  Plan plan = Join(rebalancer, std::move(layers), loads_left);
+  Plan plan = JoinLayerPlans(rebalancer, std::move(layers), loads_left);
   plan.cost += rebalancer.settings.switch_stall;
   if (plan.gain <= rebalancer.settings.hysteresis * plan.cost) {
-    return {.plan = std::nullopt, .hold = HoldReason::kNotWorthIt};
+    return {.plan = std::nullopt, .hold = HoldReason::kGainTooSmall};
   }
-  Remember(rebalancer, plan, now);
+  RecordChanges(rebalancer, plan, now);
   rebalancer.is_plan_underway = true;
   return {.plan = std::move(plan)};
 }
@@ -240,7 +240,7 @@
 void HandleSwitched(Rebalancer& rebalancer, const Plan& plan, TimePoint now) {
   rebalancer.in_force = plan.placement;
   rebalancer.is_plan_underway = false;
-  ForgetOldChanges(rebalancer, now);
+  RemoveExpiredChanges(rebalancer, now);
 }
 
 void HandleAbandoned(Rebalancer& rebalancer) {
--- a/Libraries/LibPlacement/Rebalancer.h
+++ b/Libraries/LibPlacement/Rebalancer.h
@@ -37,9 +37,9 @@
   double hysteresis = 1.5;
   // The part by which the estimated load of a rank wavers although popularity
   // does not drift: requests of one moment share topics.
-  double share_waver = 0.04;
+  double share_noise = 0.04;
   // A gain counts only beyond this many standard deviations of the estimate.
-  double least_deviations = 2;
+  double min_deviations = 2;
   // Loads that a group may start in any hour.
   size_t loads_per_hour = 64;
   // Changes younger than this are not undone at their plain price.
@@ -73,7 +73,7 @@
   kPlanUnderway,
   kNothingObserved,
   // No change helps beyond the noise of the estimate and the cost.
-  kNotWorthIt,
+  kGainTooSmall,
   // The hour's loads are spent.
   kBudgetSpent,
 };
--- a/Libraries/LibPlacement/SwitchPlan.h
+++ b/Libraries/LibPlacement/SwitchPlan.h
@@ -7,7 +7,7 @@
 
 #include "Kernel/Time.h"
 #include "LibPlacement/Copies.h"
-#include "LibPlacement/Drift.h"
+#include "LibPlacement/DemandTracker.h"
 
 namespace bramleyspan::placement {
 
@@ -16,7 +16,7 @@
 
 struct SwitchLimits {
   uint32_t ranks = 0;
-  uint32_t places_per_rank = 0;
+  uint32_t expert_slots_per_rank = 0;
   // New experts that a rank can take in one set at a time.
   uint32_t spare = 0;
   // New experts that a rank takes in all sets together.
@@ -41,17 +41,17 @@
 // last ones come together. They are dealt out to the sets, what is left over to
 // the most uneven. A slow rank is emptied faster.
 SwitchPlan PlanSwitch(const SetLists& lists,
-                      const Drift& demand,
+                      const DemandTracker& demand,
                       const SwitchLimits& limits);
 
 // The mean skew of the sets under present demand.
 double MeanSkew(const SetLists& lists,
-                const Drift& demand,
+                const DemandTracker& demand,
                 const std::vector<double>& paces);
 
 // How much a switch must lower the mean skew where a pass takes `pass`. Copies
 // are paid for, and while no pause comes near the longest one, an uneven map
 // costs nobody anything.
-double LeastGainOfSwitch(Duration pass, Duration longest_pause);
+double MinGainOfSwitch(Duration pass, Duration longest_pause);
 
 }  // namespace bramleyspan::placement
--- a/Measurements/FakeTarget.h
+++ b/Measurements/FakeTarget.h
@@ -90,7 +90,7 @@
       return;
     }
     const auto verdict =
-        admission::Offer(this->admission, request, this->events.now());
+        admission::Decide(this->admission, request, this->events.now());
     if (verdict.verdict == admission::Verdict::kRefuse) {
       caller.on_refused(verdict.retry_after);
       return;
@@ -161,7 +161,7 @@
         admission::CachedTokens(this->cache, request.prefix);
     ++this->started;
     this->cache_hits += cached > 0;
-    admission::Remember(this->cache, request.prefix,
+    admission::RecordPrefix(this->cache, request.prefix,
                         std::min(request.prompt_tokens,
                                  this->admission.settings.prefix_tokens));
     const bool is_slow = this->fault == Fault::kLimps || this->is_lying();
@@ -219,7 +219,7 @@
   EngineModel engine;
   std::mt19937_64 random;
   Fault fault = Fault::kNone;
-  admission::PrefixMemory cache;
+  admission::RecentPrefixes cache;
   std::map<uint64_t, Caller> callers;
   std::map<uint64_t, admission::Request> requests;
   std::vector<std::pair<admission::Request, Caller>> unread;
--- a/Measurements/MeasureCopies.cc
+++ b/Measurements/MeasureCopies.cc
@@ -23,7 +23,7 @@
   uint32_t ranks = 0;
   uint32_t sets = 0;
   uint16_t experts = 0;
-  uint32_t places_per_rank = 0;
+  uint32_t expert_slots_per_rank = 0;
   uint32_t spare = 0;
   // The exponent of Zipf's law.
   double exponent = 1;
@@ -66,7 +66,7 @@
   std::vector<double> skews(kSwitches, 0);
   std::chrono::duration<double, std::milli> longest{};
   for (int jump = 0; jump < kJumps; ++jump) {
-    Drift demand;
+    DemandTracker demand;
     for (uint32_t set = 0; set < shape.sets; ++set) {
       demand.present.push_back(MixOfTopics(shape, random));
     }
@@ -74,7 +74,7 @@
       const auto began = std::chrono::steady_clock::now();
       SwitchPlan plan = PlanSwitch(lists, demand,
                                    {.ranks = shape.ranks,
-                                    .places_per_rank = shape.places_per_rank,
+                                    .expert_slots_per_rank = shape.expert_slots_per_rank,
                                     .spare = shape.spare,
                                     .copies_per_rank = shape.copies_per_rank});
       longest = std::max<decltype(longest)>(
@@ -84,7 +84,7 @@
     }
   }
   std::printf("| %u | %u | %u | %u | %.2f | %u |", shape.ranks, shape.sets,
-              shape.experts, shape.places_per_rank, shape.exponent,
+              shape.experts, shape.expert_slots_per_rank, shape.exponent,
               shape.copies_per_rank);
   for (const double skew : skews) {
     std::printf(" %.2f", skew);
--- a/Measurements/MeasurePlacement.cc
+++ b/Measurements/MeasurePlacement.cc
@@ -356,7 +356,7 @@
           }};
 }
 
-// Improves all layers without a price, by at most `most_loads` each.
+// Improves all layers without a price, by at most `max_loads` each.
 std::optional<Plan> ImproveAll(const Rebalancer& rebalancer,
                                const World& world,
                                const std::vector<Shares>& shares) {
--- a/Services/bramleyspand/Agent/Admission.cc
+++ b/Services/bramleyspand/Agent/Admission.cc
@@ -43,7 +43,7 @@
 void SubmitCall(AgentState& state, const wire::CallT& call, uint64_t forward) {
   const TimePoint now = EventLoop::Now();
   const admission::Decision decision =
-      admission::Offer(state.admission,
+      admission::Decide(state.admission,
                        {.id = forward,
                         .service_class = ClassOf(call.service_class),
                         .deadline = now + Duration(call.remaining_microseconds),
--- a/Services/bramleyspand/Gateway/GatewayRole.cc
+++ b/Services/bramleyspand/Gateway/GatewayRole.cc
@@ -217,7 +217,7 @@
         const nlohmann::json shape = {
             {"sets", engine.sets},
             {"experts", engine.experts},
-            {"places_per_rank", engine.places_per_rank},
+            {"places_per_rank", engine.expert_slots_per_rank},
             {"spare", engine.spare},
             {"copy_us", gateway::CopyTimeOf(engine).count()},
             {"slots", engine.slots},
--- a/Services/bramleyspand/Rank/Leader.cc
+++ b/Services/bramleyspand/Rank/Leader.cc
@@ -99,7 +99,7 @@
       {.ranks = this->state.own->size,
        .sets = this->state.shape->sets,
        .experts = this->state.shape->experts,
-       .tellers =
+       .reporters =
            mapswitch::CountLed(this->state.tree(), this->state.own->rank)},
       now));
 }
@@ -177,7 +177,7 @@
     }
     return is_gone;
   });
-  this->TakeSum(placement::TakeOverdue(this->choices, now));
+  this->TakeSum(placement::EmitIfOverdue(this->choices, now));
   if (now - this->told_at > kLongestSilence) {
     this->Tell(now);
   }
--- a/Services/bramleyspand/Rank/MapOwner.cc
+++ b/Services/bramleyspand/Rank/MapOwner.cc
@@ -67,15 +67,15 @@
 // Returns whether what is in demand has jumped.
 bool Observe(RankState& state,
              const std::optional<placement::Choices>& sample) {
-  const uint64_t jumps = state.drift.jumps;
+  const uint64_t shifts = state.drift.shifts;
   if (sample) {
     placement::ObserveChoices(state.drift, *sample);
   }
-  if (state.drift.jumps == jumps) {
+  if (state.drift.shifts == shifts) {
     return false;
   }
   Log(LogLevel::kInfo, "map", "demand_jumped",
-      {{"jumps", std::to_string(state.drift.jumps)},
+      {{"jumps", std::to_string(state.drift.shifts)},
        {"step", std::to_string(state.choices.step)},
        {"remembered", std::to_string(state.drift.remembered.size())}});
   return true;
@@ -84,14 +84,14 @@
 // `tellers` is 0 where each rank in its turn tells its own.
 bool ObserveCounts(RankState& state,
                    const placement::RankChoices& chosen,
-                   uint32_t tellers) {
+                   uint32_t reporters) {
   if (!state.shape || chosen.counts.empty()) {
     return false;
   }
   const placement::ChoicesShape shape{.ranks = state.own->size,
                                       .sets = state.shape->sets,
                                       .experts = state.shape->experts,
-                                      .tellers = tellers};
+                                      .reporters = reporters};
   return Observe(state, placement::AddChoices(state.choices, chosen, shape,
                                               EventLoop::Now()));
 }
@@ -110,7 +110,7 @@
 bool is_outdated(const RankState& state) {
   const MapSwitch& map_switch = state.map_switch;
   if (!mapswitch::is_replaceable(map_switch) ||
-      state.drift.jumps == state.planned_at_jump ||
+      state.drift.shifts == state.planned_at_jump ||
       state.drift.present.size() != map_switch.wish.map.size()) {
     return false;
   }
@@ -123,7 +123,7 @@
   constexpr double kSameSkew = 0.03;
   const auto& last = state.fruitless;
   return last && last->map == state.own->map &&
-         last->jumps == state.drift.jumps &&
+         last->shifts == state.drift.shifts &&
          std::abs(last->skew - skew) < kSameSkew && last->gain < least_gain;
 }
 
@@ -133,7 +133,7 @@
   if (!map || state.drift.present.size() != map->size()) {
     return;
   }
-  const double least_gain = placement::LeastGainOfSwitch(
+  const double least_gain = placement::MinGainOfSwitch(
       state.map_switch.pass, state.places.settings.longest_pause);
   const double skew = placement::MeanSkew(*map, state.drift, PacesOf(state));
   telemetry::SetGauge(kSkew, {}, skew);
@@ -143,7 +143,7 @@
   placement::SwitchPlan plan = placement::PlanSwitch(
       *map, state.drift,
       {.ranks = state.own->size,
-       .places_per_rank = state.shape->places_per_rank,
+       .expert_slots_per_rank = state.shape->expert_slots_per_rank,
        .spare = state.shape->spare,
        .copies_per_rank = placement::CopiesPerRank(state.shape->copy),
        .paces = PacesOf(state)});
@@ -151,13 +151,13 @@
       plan.copies > 0 && plan.skew_before - plan.skew_after >= least_gain;
   if (!is_worth_it && !is_forced) {
     state.fruitless = {.map = state.own->map,
-                       .jumps = state.drift.jumps,
+                       .shifts = state.drift.shifts,
                        .skew = skew,
                        .gain = plan.skew_before - plan.skew_after};
     return;
   }
   state.planned_skew = plan.skew_after;
-  state.planned_at_jump = state.drift.jumps;
+  state.planned_at_jump = state.drift.shifts;
   mapswitch::StartSwitch(state.map_switch, std::move(plan.lists), now);
   telemetry::Count(kMapSwitches, {});
   telemetry::Count(kExpertCopies, {}, plan.copies);
@@ -203,7 +203,7 @@
        {"skew", is_skew_known ? Rounded(placement::MeanSkew(*map, state.drift,
                                                             PacesOf(state)))
                               : "unknown"},
-       {"jumps", std::to_string(state.drift.jumps)}});
+       {"jumps", std::to_string(state.drift.shifts)}});
 }
 
 }  // namespace
@@ -294,7 +294,7 @@
   map_switch.pass = admission::PassOf(state.places, now);
   map_switch.pass_began =
       state.places.passes.empty() ? TimePoint{} : state.places.passes.back().at;
-  Observe(state, placement::TakeOverdue(state.choices, now));
+  Observe(state, placement::EmitIfOverdue(state.choices, now));
   mapswitch::Continue(map_switch, now);
   if (map_switch.phase != phase_before) {
     Log(LogLevel::kInfo, "map", "switch_phase",
--- a/Services/bramleyspand/Rank/RankReadings.cc
+++ b/Services/bramleyspand/Rank/RankReadings.cc
@@ -102,16 +102,16 @@
                    });
 }
 
-bool RankReadings::is_teller(mapswitch::Step step) const {
+bool RankReadings::is_reporter(mapswitch::Step step) const {
   const mapswitch::Tree tree = this->state.tree();
   return mapswitch::CountLeaders(tree) == 0
-             ? placement::is_teller(this->state.own->rank, tree.size, step)
-             : mapswitch::is_teller(tree, this->state.own->rank, step);
+             ? placement::is_reporter(this->state.own->rank, tree.size, step)
+             : mapswitch::is_reporter(tree, this->state.own->rank, step);
 }
 
 bool RankReadings::is_counts_pass(mapswitch::Step step) const {
   return mapswitch::CountLeaders(this->state.tree()) == 0 ||
-         this->is_teller(step) || this->is_teller(step + 1);
+         this->is_reporter(step) || this->is_reporter(step + 1);
 }
 
 void RankReadings::HandleCounts(const std::string& body) {
@@ -130,7 +130,7 @@
                        last->counts.size() == counts.size();
   // What was not told of an earlier pass would mix with this one.
   this->state.new_counts.clear();
-  if (goes_on && own && this->is_teller(parsed.value().step)) {
+  if (goes_on && own && this->is_reporter(parsed.value().step)) {
     this->state.new_counts.resize(counts.size(), 0);
     for (size_t i = 0; i < counts.size(); ++i) {
       // Counts start anew with the rank.
--- a/Services/bramleyspand/Rank/RankReadings.h
+++ b/Services/bramleyspand/Rank/RankReadings.h
@@ -35,7 +35,7 @@
                   std::function<void(Result<std::string>)> on_done);
   void NoteEngine(bool is_reached, const std::string& reason);
   // Whether it is the rank's turn to tell what it chose in this pass.
-  bool is_teller(mapswitch::Step step) const;
+  bool is_reporter(mapswitch::Step step) const;
   void HandleCounts(const std::string& body);
 
   RankState& state;
--- a/Services/bramleyspand/Rank/RankRole.cc
+++ b/Services/bramleyspand/Rank/RankRole.cc
@@ -177,7 +177,7 @@
     }
     now_state.own = std::move(status);
     now_state.own_heard = EventLoop::Now();
-    admission::NoteReport(now_state.places,
+    admission::RecordReport(now_state.places,
                           {.epoch = now_state.own->epoch,
                            .step = now_state.own->step,
                            .running = now_state.own->running,
@@ -238,11 +238,11 @@
     if (const auto* probe = body.AsPlaceProbe()) {
       this->Offer(from_ip, *probe);
     } else if (const auto* taken = body.AsPlaceTaken()) {
-      admission::TakenPlace place{.gateway = from_ip, .number = taken->number};
+      admission::Reservation place{.gateway = from_ip, .number = taken->number};
       if (taken->is_settled) {
-        admission::NoteSettled(this->state.places, place);
+        admission::RemoveReservation(this->state.places, place);
       } else {
-        admission::NoteTaken(this->state.places, std::move(place),
+        admission::RecordReservation(this->state.places, std::move(place),
                              EventLoop::Now());
       }
     } else if (const auto* heartbeat = body.AsHeartbeat()) {
@@ -316,10 +316,10 @@
   void Offer(const std::string& gateway_ip,
              const membership::wire::PlaceProbeT& probe) {
     const TimePoint now = EventLoop::Now();
-    const admission::PlaceOffer offer =
+    const admission::PermitOffer offer =
         admission::OfferOf(this->state.places, probe.is_late, now);
     if (offer.is_admitting) {
-      admission::NoteOffered(this->state.places, now);
+      admission::RecordOffer(this->state.places, now);
     }
     membership::wire::PlaceOfferT wire;
     wire.number = probe.number;
@@ -348,13 +348,13 @@
   }
 
   void HandlePlacesShape(const nlohmann::json& body) {
-    const admission::RankPlacesSettings usual;
+    const admission::RankAdmissionSettings usual;
     this->state.places.settings = {
         .slots = body.value("slots", usual.slots),
         .longest_pause = std::chrono::microseconds(
             body.value("longest_pause_us", usual.longest_pause.count())),
-        .least_pass = std::chrono::microseconds(
-            body.value("least_pass_us", usual.least_pass.count()))};
+        .min_pass = std::chrono::microseconds(
+            body.value("least_pass_us", usual.min_pass.count()))};
   }
 
   void AskForShape() {
@@ -383,7 +383,7 @@
           this->state.shape = MapShape{
               .sets = body.value("sets", 0U),
               .experts = body.value("experts", 0U),
-              .places_per_rank = body.value("places_per_rank", 0U),
+              .expert_slots_per_rank = body.value("places_per_rank", 0U),
               .spare = body.value("spare", 0U),
               .copy =
                   std::chrono::microseconds(body.value("copy_us", int64_t{0}))};
--- a/Services/bramleyspand/Rank/RankState.h
+++ b/Services/bramleyspand/Rank/RankState.h
@@ -8,12 +8,12 @@
 #include <string>
 #include <vector>
 
-#include "LibAdmission/RankPlaces.h"
+#include "LibAdmission/RankAdmission.h"
 #include "LibHTTP/DirectCall.h"
 #include "LibMapSwitch/Switch.h"
 #include "LibMapSwitch/Tree.h"
 #include "LibMembership/Members.h"
-#include "LibPlacement/Drift.h"
+#include "LibPlacement/DemandTracker.h"
 #include "LibPlacement/PassChoices.h"
 #include "LibPlacement/SwitchPlan.h"
 #include "Services/bramleyspand/PeerDatagrams.h"
@@ -26,7 +26,7 @@
 struct MapShape {
   uint32_t sets = 0;
   uint32_t experts = 0;
-  uint32_t places_per_rank = 0;
+  uint32_t expert_slots_per_rank = 0;
   uint32_t spare = 0;
   // What copying an expert takes.
   Duration copy{};
@@ -72,7 +72,7 @@
 // changed: it takes the most time of all that an agent does.
 struct FruitlessPlan {
   mapswitch::Version map = 0;
-  uint64_t jumps = 0;
+  uint64_t shifts = 0;
   double skew = 0;
   double gain = 0;
 };
@@ -102,7 +102,7 @@
   std::map<uint32_t, Superior> superiors;
   // When the leader above was last heard.
   TimePoint leader_heard;
-  admission::RankPlaces places;
+  admission::RankAdmission places;
   // The servers of all ranks, as the owner told them, and when it last did.
   std::vector<Address> group_servers;
   // As a leader passes them on.
@@ -112,7 +112,7 @@
   // Kept by the owner only, the agent beside rank 0.
   mapswitch::MapSwitch map_switch;
   std::map<uint32_t, RankInfo> ranks;
-  placement::Drift drift;
+  placement::DemandTracker drift;
   // The skew that the switch under way was planned to.
   double planned_skew = 1;
   // Jumps of demand that were seen when it was planned.
--- a/Tests/LibAdmission/SimulatedLoad.cc
+++ b/Tests/LibAdmission/SimulatedLoad.cc
@@ -12,12 +12,12 @@
 constexpr Duration kTick = milliseconds(5);
 constexpr Duration kReportInterval = milliseconds(30);
 constexpr size_t kProbes = 6;
-constexpr Duration kFirstCopies = milliseconds(500);
-constexpr Duration kFittingMap = milliseconds(1500);
-constexpr Duration kLongestWait = milliseconds(1400);
-constexpr Duration kReturnsAfter = milliseconds(2200);
+constexpr Duration kFirstCopiesDelay = milliseconds(500);
+constexpr Duration kFinalMapDelay = milliseconds(1500);
+constexpr Duration kMaxWait = milliseconds(1400);
+constexpr Duration kRetryDelay = milliseconds(2200);
 // Passes take longer while ranks copy experts.
-constexpr double kCopyingPart = 1.15;
+constexpr double kCopyingFactor = 1.15;
 constexpr double kMillisecond = 1e-3;
 
 Duration Milliseconds(double count) {
@@ -27,33 +27,33 @@
 }  // namespace
 
 SimulatedLoad::SimulatedLoad(const LoadSettings& settings, uint64_t seed)
-    : settings(settings), random(seed), places(settings.ranks) {
-  for (RankPlaces& place : this->places) {
-    place.settings = {
+    : settings(settings), random(seed), admissions(settings.ranks) {
+  for (RankAdmission& admission : this->admissions) {
+    admission.settings = {
         .slots = settings.slots,
         .longest_pause = settings.longest_pause,
-        .least_pass = Milliseconds(settings.stride *
-                                   (settings.step_ms + settings.stream_ms))};
+        .min_pass = Milliseconds(settings.stride *
+                                 (settings.step_ms + settings.stream_ms))};
   }
 }
 
 void SimulatedLoad::Run(Duration time) {
   for (const TimePoint end = this->now + time; this->now < end;) {
     this->now += kTick;
-    if (!this->is_open && this->now >= this->opens) {
+    if (!this->is_open && this->now >= this->opens_at) {
       this->is_open = true;
-      this->opened = this->now;
+      this->opened_at = this->now;
       ++this->epoch;
     }
-    if (this->is_passing && this->now >= this->pass_ends) {
+    if (this->is_pass_running && this->now >= this->pass_ends_at) {
       this->EndPass();
     }
-    if (!this->is_passing && this->is_open && !this->streams.empty()) {
+    if (!this->is_pass_running && this->is_open && !this->streams.empty()) {
       const Duration pass = this->NextPass();
       this->longest_pass = std::max(this->longest_pass, pass);
-      this->pass_began = this->now;
-      this->pass_ends = this->now + pass;
-      this->is_passing = true;
+      this->pass_started_at = this->now;
+      this->pass_ends_at = this->now + pass;
+      this->is_pass_running = true;
       ++this->step;
     }
     if (this->now.time_since_epoch() % kReportInterval == Duration(0)) {
@@ -64,22 +64,22 @@
   }
 }
 
-void SimulatedLoad::BreakUntil(TimePoint opens) {
+void SimulatedLoad::ReformUntil(TimePoint opens_at) {
   this->is_open = false;
-  this->is_passing = false;
-  this->opens = opens;
+  this->is_pass_running = false;
+  this->opens_at = opens_at;
   for (const Stream& stream : this->streams) {
     Caller caller = stream.caller;
-    caller.is_returning = true;
-    caller.came = this->now;
-    this->returning.push_back(caller);
+    caller.is_retry = true;
+    caller.arrived_at = this->now;
+    this->retrying.push_back(caller);
   }
   this->streams.clear();
   this->Report();
 }
 
-Second SimulatedLoad::Sum(size_t from_second, size_t to_second) const {
-  Second sum;
+CallerCounts SimulatedLoad::Sum(size_t from_second, size_t to_second) const {
+  CallerCounts sum;
   for (size_t at = from_second; at < std::min(to_second, this->seconds.size());
        ++at) {
     sum.asked += this->seconds[at].asked;
@@ -91,57 +91,58 @@
 }
 
 bool SimulatedLoad::is_late(const Caller& caller) const {
-  return caller.is_returning ||
-         this->now - caller.came >= this->settings.objective / 2;
+  return caller.is_retry ||
+         this->now - caller.arrived_at >= this->settings.objective / 2;
 }
 
 double SimulatedLoad::Skew() const {
-  Duration since = this->now - this->opened;
-  if (this->settings.jump_interval > Duration(0)) {
-    since = since % this->settings.jump_interval;
+  Duration since = this->now - this->opened_at;
+  if (this->settings.shift_interval > Duration(0)) {
+    since = since % this->settings.shift_interval;
   } else if (this->epoch == 1) {
-    return this->settings.skew_at_rest;
+    return this->settings.steady_skew;
   }
-  if (since < kFirstCopies) {
-    return this->settings.skew_of_jump;
+  if (since < kFirstCopiesDelay) {
+    return this->settings.skew_after_shift;
   }
-  return since < kFittingMap ? this->settings.skew_of_first_copies
-                             : this->settings.skew_at_rest;
+  return since < kFinalMapDelay ? this->settings.skew_with_first_copies
+                                : this->settings.steady_skew;
 }
 
 Duration SimulatedLoad::NextPass() {
   const LoadSettings& load = this->settings;
-  std::vector<double> own(load.ranks, 0);
-  double all = 0;
+  std::vector<double> rank_work(load.ranks, 0);
+  double total_work = 0;
   bool has_writers = false;
   for (const Stream& stream : this->streams) {
-    const bool is_writing = stream.unread <= 0;
+    const bool is_writing = stream.unread_tokens <= 0;
     has_writers = has_writers || is_writing;
-    const double work = is_writing ? load.stride * load.stream_ms
-                                   : stream.unread / load.read_tokens_per_ms;
-    own[stream.rank] += work;
-    all += work;
+    const double work = is_writing
+                            ? load.stride * load.stream_ms
+                            : stream.unread_tokens / load.read_tokens_per_ms;
+    rank_work[stream.rank] += work;
+    total_work += work;
   }
   const double steps = has_writers ? load.stride : 1;
-  const double slowest = *std::max_element(own.begin(), own.end());
+  const double slowest = *std::max_element(rank_work.begin(), rank_work.end());
   const double skew = this->Skew();
-  const double copying = skew > load.skew_at_rest ? kCopyingPart : 1;
-  const double experts = load.expert_share * skew * all / load.ranks;
-  const double apart = (1 - load.expert_share) * slowest;
-  return Milliseconds(copying * (steps * load.step_ms + apart + experts));
+  const double copying = skew > load.steady_skew ? kCopyingFactor : 1;
+  const double experts = load.expert_share * skew * total_work / load.ranks;
+  const double other_work = (1 - load.expert_share) * slowest;
+  return Milliseconds(copying * (steps * load.step_ms + other_work + experts));
 }
 
 void SimulatedLoad::EndPass() {
-  this->is_passing = false;
+  this->is_pass_running = false;
   const bool is_long =
-      this->now - this->pass_began > this->settings.longest_pause;
+      this->now - this->pass_started_at > this->settings.longest_pause;
   for (Stream& stream : this->streams) {
-    const bool is_new = stream.started >= this->pass_began;
+    const bool is_new = stream.started >= this->pass_started_at;
     if (is_new) {
       continue;
     }
-    if (stream.unread > 0) {
-      stream.unread = 0;
+    if (stream.unread_tokens > 0) {
+      stream.unread_tokens = 0;
       stream.is_late =
           this->now - stream.caller.asked > this->settings.objective;
       continue;
@@ -153,7 +154,7 @@
     if (stream.events_left > 0) {
       return false;
     }
-    Second& second = this->SecondOf(stream.caller);
+    CallerCounts& second = this->SecondOf(stream.caller);
     ++(stream.is_late ? second.late : second.in_time);
     return true;
   });
@@ -164,17 +165,17 @@
       this->settings.arrivals_per_second *
       std::chrono::duration<double>(kTick).count());
   for (int arrived = count(this->random); arrived > 0; --arrived) {
-    const Caller caller{.asked = this->now, .came = this->now};
+    const Caller caller{.asked = this->now, .arrived_at = this->now};
     ++this->SecondOf(caller).asked;
     this->waiting.push_back(caller);
   }
-  for (auto at = this->returning.begin(); at != this->returning.end();) {
-    if (at->came > this->now) {
+  for (auto at = this->retrying.begin(); at != this->retrying.end();) {
+    if (at->arrived_at > this->now) {
       ++at;
       continue;
     }
     this->waiting.push_back(*at);
-    at = this->returning.erase(at);
+    at = this->retrying.erase(at);
   }
 }
 
@@ -183,19 +184,19 @@
     if (this->is_late(left) != this->is_late(right)) {
       return this->is_late(right);
     }
-    return this->is_late(left) && left.is_returning && !right.is_returning;
+    return this->is_late(left) && left.is_retry && !right.is_retry;
   });
   // A few gateways ask at a time, and none again at once after a refusal.
-  constexpr int kMostFailures = 4;
+  constexpr int kMaxFailures = 4;
   int failures = 0;
   for (auto at = this->waiting.begin(); at != this->waiting.end();) {
-    if (failures < kMostFailures && this->Place(*at)) {
+    if (failures < kMaxFailures && this->StartStream(*at)) {
       at = this->waiting.erase(at);
       continue;
     }
     ++failures;
-    if (this->now - at->came >= kLongestWait) {
-      this->GiveUp(*at);
+    if (this->now - at->arrived_at >= kMaxWait) {
+      this->HandleTimeout(*at);
       at = this->waiting.erase(at);
       continue;
     }
@@ -203,49 +204,50 @@
   }
 }
 
-bool SimulatedLoad::Place(const Caller& caller) {
-  size_t best = this->places.size();
+bool SimulatedLoad::StartStream(const Caller& caller) {
+  size_t best = this->admissions.size();
   double best_fullness = 0;
   for (size_t probe = 0; probe < kProbes; ++probe) {
-    const size_t rank = this->random() % this->places.size();
-    const PlaceOffer offer =
-        OfferOf(this->places[rank], this->is_late(caller), this->now);
+    const size_t rank = this->random() % this->admissions.size();
+    const PermitOffer offer =
+        OfferOf(this->admissions[rank], this->is_late(caller), this->now);
     if (!offer.is_admitting) {
       continue;
     }
-    NoteOffered(this->places[rank], this->now);
+    RecordOffer(this->admissions[rank], this->now);
     const double fullness = (offer.load + 1) / offer.limit;
-    if (best == this->places.size() || fullness < best_fullness) {
+    if (best == this->admissions.size() || fullness < best_fullness) {
       best = rank;
       best_fullness = fullness;
     }
   }
-  if (best == this->places.size()) {
+  if (best == this->admissions.size()) {
     return false;
   }
-  NoteTaken(this->places[best], {.gateway = "g", .number = ++this->number},
-            this->now);
-  NoteSettled(this->places[best], {.gateway = "g", .number = this->number});
-  ++this->places[best].reported.running;
+  RecordReservation(this->admissions[best],
+                    {.gateway = "g", .number = ++this->number}, this->now);
+  RemoveReservation(this->admissions[best],
+                    {.gateway = "g", .number = this->number});
+  ++this->admissions[best].reported.running;
   std::exponential_distribution<double> tokens(1 /
                                                this->settings.prompt_tokens);
   this->streams.push_back({.caller = caller,
                            .rank = static_cast<uint32_t>(best),
                            .started = this->now,
-                           .unread = 1 + tokens(this->random),
+                           .unread_tokens = 1 + tokens(this->random),
                            .events_left = this->settings.events});
   return true;
 }
 
-void SimulatedLoad::GiveUp(const Caller& caller) {
-  if (caller.is_returning) {
+void SimulatedLoad::HandleTimeout(const Caller& caller) {
+  if (caller.is_retry) {
     ++this->SecondOf(caller).refused;
     return;
   }
-  Caller back = caller;
-  back.is_returning = true;
-  back.came = this->now + kReturnsAfter;
-  this->returning.push_back(back);
+  Caller retry = caller;
+  retry.is_retry = true;
+  retry.arrived_at = this->now + kRetryDelay;
+  this->retrying.push_back(retry);
 }
 
 void SimulatedLoad::Report() {
@@ -253,17 +255,17 @@
   for (const Stream& stream : this->streams) {
     ++running[stream.rank];
   }
-  for (size_t rank = 0; rank < this->places.size(); ++rank) {
-    NoteReport(this->places[rank],
-               {.epoch = this->epoch,
-                .step = this->step,
-                .running = running[rank],
-                .is_open = this->is_open},
-               this->now);
+  for (size_t rank = 0; rank < this->admissions.size(); ++rank) {
+    RecordReport(this->admissions[rank],
+                 {.epoch = this->epoch,
+                  .step = this->step,
+                  .running = running[rank],
+                  .is_open = this->is_open},
+                 this->now);
   }
 }
 
-Second& SimulatedLoad::SecondOf(const Caller& caller) {
+CallerCounts& SimulatedLoad::SecondOf(const Caller& caller) {
   const auto at =
       static_cast<size_t>(std::chrono::duration_cast<std::chrono::seconds>(
                               caller.asked.time_since_epoch())
--- a/Tests/LibAdmission/SimulatedLoad.h
+++ b/Tests/LibAdmission/SimulatedLoad.h
@@ -9,7 +9,7 @@
 #include <random>
 #include <vector>
 
-#include "LibAdmission/RankPlaces.h"
+#include "LibAdmission/RankAdmission.h"
 
 namespace bramleyspan::admission {
 
@@ -27,16 +27,16 @@
   Duration objective = std::chrono::milliseconds(500);
   double arrivals_per_second = 98;
   // Zero for demand that never jumps.
-  Duration jump_interval{};
+  Duration shift_interval{};
   // Load of the most loaded rank over the mean, after a jump, once the first
   // copies are there and once a map that fits is.
-  double skew_of_jump = 3.3;
-  double skew_of_first_copies = 2.1;
-  double skew_at_rest = 1.7;
+  double skew_after_shift = 3.3;
+  double skew_with_first_copies = 2.1;
+  double steady_skew = 1.7;
 };
 
 // What callers got, by the second in which they came.
-struct Second {
+struct CallerCounts {
   int asked = 0;
   int in_time = 0;
   int late = 0;
@@ -50,9 +50,9 @@
   void Run(Duration time);
 
   // The group is formed anew; its streams end and their callers return.
-  void BreakUntil(TimePoint opens);
+  void ReformUntil(TimePoint opens_at);
 
-  Second Sum(size_t from_second, size_t to_second) const;
+  CallerCounts Sum(size_t from_second, size_t to_second) const;
 
   LoadSettings settings;
   TimePoint now{};
@@ -61,14 +61,14 @@
  private:
   struct Caller {
     TimePoint asked;
-    TimePoint came;
-    bool is_returning = false;
+    TimePoint arrived_at;
+    bool is_retry = false;
   };
   struct Stream {
     Caller caller;
     uint32_t rank = 0;
     TimePoint started;
-    double unread = 0;
+    double unread_tokens = 0;
     uint32_t events_left = 0;
     bool is_late = false;
   };
@@ -79,26 +79,26 @@
   void EndPass();
   void Arrive();
   void Serve();
-  bool Place(const Caller& caller);
-  void GiveUp(const Caller& caller);
+  bool StartStream(const Caller& caller);
+  void HandleTimeout(const Caller& caller);
   void Report();
-  Second& SecondOf(const Caller& caller);
+  CallerCounts& SecondOf(const Caller& caller);
 
   std::mt19937_64 random;
-  std::vector<RankPlaces> places;
+  std::vector<RankAdmission> admissions;
   std::vector<Stream> streams;
   std::list<Caller> waiting;
-  std::list<Caller> returning;
-  std::vector<Second> seconds;
+  std::list<Caller> retrying;
+  std::vector<CallerCounts> seconds;
   uint64_t step = 1;
   uint64_t epoch = 1;
   uint64_t number = 0;
   bool is_open = true;
-  TimePoint opens;
-  TimePoint opened;
-  TimePoint pass_began;
-  TimePoint pass_ends;
-  bool is_passing = false;
+  TimePoint opens_at;
+  TimePoint opened_at;
+  TimePoint pass_started_at;
+  TimePoint pass_ends_at;
+  bool is_pass_running = false;
 };
 
 }  // namespace bramleyspan::admission
--- a/Tests/LibAdmission/TestAdmission.cc
+++ b/Tests/LibAdmission/TestAdmission.cc
@@ -36,9 +36,9 @@
 
 TEST_CASE("requests start while slots are free and wait after that") {
   Admission admission = MakeAdmission();
-  CHECK(Offer(admission, MakeRequest(1), kBegin).verdict == Verdict::kStart);
-  CHECK(Offer(admission, MakeRequest(2), kBegin).verdict == Verdict::kStart);
-  CHECK(Offer(admission, MakeRequest(3), kBegin).verdict == Verdict::kWait);
+  CHECK(Decide(admission, MakeRequest(1), kBegin).verdict == Verdict::kStart);
+  CHECK(Decide(admission, MakeRequest(2), kBegin).verdict == Verdict::kStart);
+  CHECK(Decide(admission, MakeRequest(3), kBegin).verdict == Verdict::kWait);
   const Effects effects = HandleEnd(admission, 1, true, kBegin);
   CHECK(effects.start == std::vector<uint64_t>{3});
 }
@@ -51,12 +51,12 @@
   uint64_t id = 0;
   Decision decision;
   do {
-    decision = Offer(admission, MakeRequest(++id), kBegin);
+    decision = Decide(admission, MakeRequest(++id), kBegin);
   } while (decision.verdict != Verdict::kRefuse && id < 100);
   // Two run; 200 ms a start let eight wait within 80% of two seconds.
   CHECK(id == 11);
   CHECK(decision.retry_after > Duration::zero());
-  const Decision next = Offer(admission, MakeRequest(12), kBegin);
+  const Decision next = Decide(admission, MakeRequest(12), kBegin);
   CHECK(next.retry_after > decision.retry_after);
 }
 
@@ -103,10 +103,10 @@
     "what waits for a stalled back end is given up long before the "
     "deadline") {
   Admission admission = MakeAdmission();
-  Offer(admission, MakeRequest(1), kBegin);
-  Offer(admission, MakeRequest(2), kBegin);
-  Offer(admission, MakeRequest(3, ServiceClass::kInteractive, seconds(4)),
-        kBegin);
+  Decide(admission, MakeRequest(1), kBegin);
+  Decide(admission, MakeRequest(2), kBegin);
+  Decide(admission, MakeRequest(3, ServiceClass::kInteractive, seconds(4)),
+         kBegin);
   TimePoint now = kBegin;
   Effects effects;
   while (effects.give_up.empty() && now < kBegin + seconds(4)) {
@@ -116,8 +116,8 @@
   REQUIRE(effects.give_up.size() == 1);
   CHECK(effects.give_up.front().id == 3);
   CHECK(now - kBegin < milliseconds(2500));
-  CHECK(Offer(admission,
-              MakeRequest(4, ServiceClass::kInteractive, seconds(2), now), now)
+  CHECK(Decide(admission,
+               MakeRequest(4, ServiceClass::kInteractive, seconds(2), now), now)
             .verdict == Verdict::kRefuse);
 }
 
@@ -127,7 +127,7 @@
   Admission admission = MakeAdmission();
   admission.settings.slots = 4;
   for (uint64_t id = 1; id <= 4; ++id) {
-    Offer(admission, MakeRequest(id), kBegin);
+    Decide(admission, MakeRequest(id), kBegin);
     HandleProgress(admission, id, kBegin);
   }
   const auto before = EstimateFor(admission, MakeRequest(9), kBegin);
@@ -143,14 +143,14 @@
   ClassQueues quiet;
   ClassQueues busy;
   for (int i = 0; i < 20; ++i) {
-    NoteTaken(busy, ServiceClass::kInteractive, kBegin);
+    RecordAdmitted(busy, ServiceClass::kInteractive, kBegin);
   }
   constexpr double kInterval = 200'000;
-  const double alone =
+  const double quiet_wait =
       WaitMicroseconds(quiet, ServiceClass::kBatch, 4, 0, kInterval);
-  const double among =
+  const double busy_wait =
       WaitMicroseconds(busy, ServiceClass::kBatch, 4, 0, kInterval);
-  CHECK(among > 3 * alone);
+  CHECK(busy_wait > 3 * quiet_wait);
 }
 
 // A member's long contract is refused at once by a fleet that has nothing to
@@ -161,24 +161,24 @@
   Admission admission = MakeAdmission();
   TimePoint now = kBegin;
   for (uint64_t id = 1; id <= 12; ++id) {
-    Request greeting =
+    Request short_request =
         MakeRequest(id, ServiceClass::kInteractive, seconds(2), now);
-    greeting.prompt_tokens = 16;
-    Offer(admission, greeting, now);
+    short_request.prompt_tokens = 16;
+    Decide(admission, short_request, now);
     now += milliseconds(160);
     HandleProgress(admission, id, now);
     HandleEnd(admission, id, true, now);
   }
-  Request contract =
+  Request long_request =
       MakeRequest(20, ServiceClass::kInteractive, seconds(2), now);
-  contract.prompt_tokens = 25'000;
-  CHECK(Offer(admission, contract, now).verdict == Verdict::kStart);
+  long_request.prompt_tokens = 25'000;
+  CHECK(Decide(admission, long_request, now).verdict == Verdict::kStart);
 }
 
 TEST_CASE("a cost per token that was seen is counted") {
   PrefillModel model;
   for (uint32_t tokens = 100; tokens <= 2000; tokens += 100) {
-    Learn(model, tokens, milliseconds(20 + tokens / 10));
+    AddSample(model, tokens, milliseconds(20 + tokens / 10));
   }
   CHECK(Predict(model, 10'000) > milliseconds(900));
   CHECK(Predict(model, 10'000) < milliseconds(1100));
@@ -188,7 +188,7 @@
 TEST_CASE("a withdrawn request never starts") {
   Admission admission = MakeAdmission();
   for (uint64_t id = 1; id <= 3; ++id) {
-    Offer(admission, MakeRequest(id), kBegin);
+    Decide(admission, MakeRequest(id), kBegin);
   }
   CHECK(Withdraw(admission, 3));
   CHECK_FALSE(Withdraw(admission, 1));
@@ -196,50 +196,51 @@
 }
 
 TEST_CASE("the prefix memory forgets what was not used for longest") {
-  PrefixMemory memory{.capacity = 2};
-  Remember(memory, 1, 10);
-  Remember(memory, 2, 20);
-  Remember(memory, 1, 15);
-  Remember(memory, 3, 30);
-  CHECK(CachedTokens(memory, 1) == 15);
-  CHECK(CachedTokens(memory, 2) == 0);
-  CHECK(CachedTokens(memory, 3) == 30);
+  RecentPrefixes prefixes{.capacity = 2};
+  RecordPrefix(prefixes, 1, 10);
+  RecordPrefix(prefixes, 2, 20);
+  RecordPrefix(prefixes, 1, 15);
+  RecordPrefix(prefixes, 3, 30);
+  CHECK(CachedTokens(prefixes, 1) == 15);
+  CHECK(CachedTokens(prefixes, 2) == 0);
+  CHECK(CachedTokens(prefixes, 3) == 30);
 }
 
 TEST_CASE("property: every request gets one fate and slots are kept") {
   tests::CheckProperty("one fate", [](const std::vector<uint8_t>& choices) {
     Admission admission = MakeAdmission();
-    std::map<uint64_t, int> fates;
+    std::map<uint64_t, int> outcomes;
     TimePoint now = kBegin;
     uint64_t last = 0;
-    const auto obey = [&](const Effects& effects) {
+    const auto apply = [&](const Effects& effects) {
       for (const uint64_t id : effects.start) {
-        ++fates[id];
+        ++outcomes[id];
       }
       for (const GivenUp& given_up : effects.give_up) {
-        ++fates[given_up.id];
+        ++outcomes[given_up.id];
       }
     };
     for (const uint8_t choice : choices) {
       now += milliseconds(choice);
       if (choice % 3 == 0 && !admission.running.empty()) {
-        obey(HandleEnd(admission, admission.running.begin()->first, true, now));
+        apply(
+            HandleEnd(admission, admission.running.begin()->first, true, now));
         continue;
       }
       const uint64_t id = ++last;
       const auto decision =
-          Offer(admission,
-                MakeRequest(id, static_cast<ServiceClass>(choice % 3),
-                            seconds(1), now),
-                now);
-      fates[id] += decision.verdict != Verdict::kWait;
-      obey(Review(admission, now));
+          Decide(admission,
+                 MakeRequest(id, static_cast<ServiceClass>(choice % 3),
+                             seconds(1), now),
+                 now);
+      outcomes[id] += decision.verdict != Verdict::kWait;
+      apply(Review(admission, now));
       RC_ASSERT(admission.running.size() <= admission.settings.slots);
     }
-    obey(Review(admission, now + seconds(10)));
+    apply(Review(admission, now + seconds(10)));
     RC_ASSERT(CountWaiting(admission.queues) == 0);
     RC_ASSERT(std::ranges::all_of(
-        fates, [](const auto& item) { return item.second == 1; }));
+        outcomes, [](const auto& item) { return item.second == 1; }));
   });
 }
 
--- a/Tests/LibAdmission/TestLoad.cc
+++ b/Tests/LibAdmission/TestLoad.cc
@@ -12,21 +12,21 @@
 
 constexpr uint64_t kSeeds = 5;
 
-double Part(int count, const Second& second) {
+double Fraction(int count, const CallerCounts& second) {
   return static_cast<double>(count) / second.asked;
 }
 
-LoadSettings SmallGroup(Duration jump_interval) {
+LoadSettings SmallGroup(Duration shift_interval) {
   return {.ranks = 12,
           .slots = 12,
           .events = 24,
           .stride = 4,
           .longest_pause = milliseconds(120),
           .arrivals_per_second = 50,
-          .jump_interval = jump_interval,
-          .skew_of_jump = 3.1,
-          .skew_of_first_copies = 1.8,
-          .skew_at_rest = 1.4};
+          .shift_interval = shift_interval,
+          .skew_after_shift = 3.1,
+          .skew_with_first_copies = 1.8,
+          .steady_skew = 1.4};
 }
 
 }  // namespace
@@ -36,8 +36,8 @@
     CAPTURE(seed);
     SimulatedLoad load({.arrivals_per_second = 55}, seed);
     load.Run(seconds(20));
-    const Second sum = load.Sum(2, 16);
-    CHECK(Part(sum.in_time, sum) > 0.97);
+    const CallerCounts sum = load.Sum(2, 16);
+    CHECK(Fraction(sum.in_time, sum) > 0.97);
   }
 }
 
@@ -46,12 +46,13 @@
   for (uint64_t seed = 0; seed < kSeeds; ++seed) {
     CAPTURE(seed);
     SimulatedLoad load(
-        {.arrivals_per_second = 98, .jump_interval = milliseconds(2800)}, seed);
+        {.arrivals_per_second = 98, .shift_interval = milliseconds(2800)},
+        seed);
     load.Run(seconds(30));
-    const Second sum = load.Sum(4, 24);
-    MESSAGE("in time ", Part(sum.in_time, sum), " late ", Part(sum.late, sum),
-            " refused ", Part(sum.refused, sum));
-    CHECK(Part(sum.in_time, sum) > 0.6);
+    const CallerCounts sum = load.Sum(4, 24);
+    MESSAGE("in time ", Fraction(sum.in_time, sum), " late ",
+            Fraction(sum.late, sum), " refused ", Fraction(sum.refused, sum));
+    CHECK(Fraction(sum.in_time, sum) > 0.6);
   }
 }
 
@@ -61,15 +62,15 @@
     CAPTURE(seed);
     SimulatedLoad load(SmallGroup(Duration(0)), seed);
     load.Run(seconds(10));
-    load.BreakUntil(load.now + milliseconds(2200));
+    load.ReformUntil(load.now + milliseconds(2200));
     load.Run(milliseconds(2200));
     load.longest_pass = {};
     load.Run(seconds(20));
-    const Second sum = load.Sum(12, 16);
-    MESSAGE("in time ", Part(sum.in_time, sum), " late ", Part(sum.late, sum),
-            " refused ", Part(sum.refused, sum), " pass ",
-            load.longest_pass.count());
-    CHECK(Part(sum.in_time, sum) > 0.6);
+    const CallerCounts sum = load.Sum(12, 16);
+    MESSAGE("in time ", Fraction(sum.in_time, sum), " late ",
+            Fraction(sum.late, sum), " refused ", Fraction(sum.refused, sum),
+            " pass ", load.longest_pass.count());
+    CHECK(Fraction(sum.in_time, sum) > 0.6);
   }
 }
 
@@ -83,12 +84,14 @@
     load.Run(seconds(6));
     load.settings.arrivals_per_second = 50;
     load.Run(seconds(20));
-    const Second before = load.Sum(2, 10);
-    const Second during = load.Sum(10, 16);
-    const Second after = load.Sum(18, 28);
-    MESSAGE("in time ", Part(before.in_time, before), ", ",
-            Part(during.in_time, during), ", ", Part(after.in_time, after));
-    CHECK(Part(after.in_time, after) > 0.8 * Part(before.in_time, before));
+    const CallerCounts before = load.Sum(2, 10);
+    const CallerCounts during = load.Sum(10, 16);
+    const CallerCounts after = load.Sum(18, 28);
+    MESSAGE("in time ", Fraction(before.in_time, before), ", ",
+            Fraction(during.in_time, during), ", ",
+            Fraction(after.in_time, after));
+    CHECK(Fraction(after.in_time, after) >
+          0.8 * Fraction(before.in_time, before));
   }
 }
 
--- a/Tests/LibMapSwitch/TestTree.cc
+++ b/Tests/LibMapSwitch/TestTree.cc
@@ -37,7 +37,7 @@
     std::set<uint32_t> leaders;
     uint32_t tellers = 0;
     for (uint32_t rank = 0; rank < tree.size; ++rank) {
-      if (is_teller(tree, rank, step)) {
+      if (is_reporter(tree, rank, step)) {
         ++tellers;
         leaders.insert(is_leader(tree, rank) ? rank : SuperiorOf(tree, rank));
       }
--- a/Tests/LibPlacement/TestCopies.cc
+++ b/Tests/LibPlacement/TestCopies.cc
@@ -2,7 +2,7 @@
 #include <set>
 
 #include "LibPlacement/Copies.h"
-#include "LibPlacement/Drift.h"
+#include "LibPlacement/DemandTracker.h"
 #include "Tests/Property.h"
 
 namespace bramleyspan::placement {
@@ -29,8 +29,8 @@
   return shares;
 }
 
-CopyLimits Limits(uint32_t most_copies) {
-  return {.places_per_rank = 11, .spare = 4, .most_copies = most_copies};
+CopyLimits Limits(uint32_t max_copies) {
+  return {.expert_slots_per_rank = 11, .spare = 4, .max_copies = max_copies};
 }
 
 bool is_complete(const RankLists& lists) {
@@ -83,10 +83,10 @@
   }
   std::vector<uint32_t> new_on_rank;
   const CopyPlan plan = PlanCopies(lists, shares, {},
-                                   {.places_per_rank = 3,
+                                   {.expert_slots_per_rank = 3,
                                     .spare = 2,
-                                    .most_copies = 12,
-                                    .least_gain = 0.3 / kManyRanks},
+                                    .max_copies = 12,
+                                    .min_gain = 0.3 / kManyRanks},
                                    new_on_rank);
   CHECK(plan.skew_before > 1.4);
   CHECK(plan.skew_after < 1.15);
@@ -126,23 +126,23 @@
 }
 
 TEST_CASE("A jump of demand begins anew, a drift is averaged") {
-  Drift drift;
+  DemandTracker tracker;
   std::vector<std::vector<double>> choices(1, std::vector<double>(4, 250));
-  CHECK(ObserveChoices(drift, choices));
+  CHECK(ObserveChoices(tracker, choices));
   choices[0] = {270, 230, 250, 250};
-  CHECK_FALSE(ObserveChoices(drift, choices));
-  CHECK(drift.jumps == 0);
-  CHECK(drift.present[0][0] > 0.25);
-  CHECK(drift.present[0][0] < 0.27);
+  CHECK_FALSE(ObserveChoices(tracker, choices));
+  CHECK(tracker.shifts == 0);
+  CHECK(tracker.present[0][0] > 0.25);
+  CHECK(tracker.present[0][0] < 0.27);
   choices[0] = {900, 50, 25, 25};
-  CHECK(ObserveChoices(drift, choices));
-  CHECK(drift.jumps == 1);
-  CHECK(drift.present[0][0] == doctest::Approx(0.9));
-  CHECK(drift.remembered.size() == 1);
+  CHECK(ObserveChoices(tracker, choices));
+  CHECK(tracker.shifts == 1);
+  CHECK(tracker.present[0][0] == doctest::Approx(0.9));
+  CHECK(tracker.remembered.size() == 1);
   SUBCASE("Too few choices say nothing") {
     choices[0] = {0, 0, 0, 100};
-    CHECK_FALSE(ObserveChoices(drift, choices));
-    CHECK(drift.jumps == 1);
+    CHECK_FALSE(ObserveChoices(tracker, choices));
+    CHECK(tracker.shifts == 1);
   }
 }
 
@@ -163,10 +163,10 @@
     const uint32_t places = (experts + ranks - 1U) / ranks + 1;
     std::vector<uint32_t> new_on_rank;
     const CopyPlan plan = PlanCopies(lists, shares, {},
-                                     {.places_per_rank = places,
+                                     {.expert_slots_per_rank = places,
                                       .spare = 2,
-                                      .most_copies = 40,
-                                      .most_new_on_rank = 1},
+                                      .max_copies = 40,
+                                      .max_new_on_rank = 1},
                                      new_on_rank);
     RC_ASSERT(plan.skew_after <= plan.skew_before);
     RC_ASSERT(std::abs(plan.skew_after - SkewOf(plan.lists, shares)) < 1e-6);
--- a/Tests/LibPlacement/TestPassChoices.cc
+++ b/Tests/LibPlacement/TestPassChoices.cc
@@ -2,7 +2,7 @@
 
 #include <cmath>
 
-#include "LibPlacement/Drift.h"
+#include "LibPlacement/DemandTracker.h"
 #include "LibPlacement/PassChoices.h"
 
 namespace bramleyspan::placement {
@@ -12,12 +12,12 @@
 constexpr ChoicesShape kShape{.ranks = 2, .sets = 1, .experts = 4};
 constexpr TimePoint kStart{std::chrono::seconds(100)};
 
-std::optional<Choices> Tell(PassChoices& pass,
-                            uint32_t rank,
-                            uint64_t step,
-                            const std::vector<uint32_t>& counts,
-                            TimePoint now = kStart,
-                            uint64_t epoch = 1) {
+std::optional<Choices> Report(PassChoices& pass,
+                              uint32_t rank,
+                              uint64_t step,
+                              const std::vector<uint32_t>& counts,
+                              TimePoint now = kStart,
+                              uint64_t epoch = 1) {
   return AddChoices(
       pass, {.rank = rank, .epoch = epoch, .step = step, .counts = counts},
       kShape, now);
@@ -27,11 +27,11 @@
 
 TEST_CASE("A pass is given out once all ranks told of it") {
   PassChoices pass;
-  CHECK_FALSE(Tell(pass, 0, 7, {1, 2, 3, 4}));
-  const auto whole = Tell(pass, 1, 7, {10, 20, 30, 40});
+  CHECK_FALSE(Report(pass, 0, 7, {1, 2, 3, 4}));
+  const auto whole = Report(pass, 1, 7, {10, 20, 30, 40});
   REQUIRE(whole);
   CHECK(whole->front() == std::vector<double>{11, 22, 33, 44});
-  CHECK_FALSE(Tell(pass, 1, 7, {10, 20, 30, 40}));
+  CHECK_FALSE(Report(pass, 1, 7, {10, 20, 30, 40}));
 }
 
 // Story: after demand had jumped, maps were planned for a mixture of what had
@@ -39,33 +39,33 @@
 // late. A sample was cut by the clock and held passes of both kinds.
 TEST_CASE("The first pass after a jump shows nothing of the demand before") {
   PassChoices pass;
-  Drift drift;
+  DemandTracker tracker;
   for (uint64_t step = 1; step <= 3; ++step) {
     for (uint32_t rank = 0; rank < 2; ++rank) {
-      const auto whole = Tell(pass, rank, step, {400, 0, 0, 0});
+      const auto whole = Report(pass, rank, step, {400, 0, 0, 0});
       if (whole) {
-        ObserveChoices(drift, *whole);
+        ObserveChoices(tracker, *whole);
       }
     }
   }
   // One rank is heard of the jump before the other is heard of it.
-  CHECK_FALSE(Tell(pass, 1, 4, {0, 0, 0, 400}));
-  const auto whole = Tell(pass, 0, 4, {0, 0, 0, 400});
+  CHECK_FALSE(Report(pass, 1, 4, {0, 0, 0, 400}));
+  const auto whole = Report(pass, 0, 4, {0, 0, 0, 400});
   REQUIRE(whole);
-  CHECK(ObserveChoices(drift, *whole));
-  CHECK(drift.jumps == 1);
-  CHECK(drift.present[0] == Shares{0, 0, 0, 1});
+  CHECK(ObserveChoices(tracker, *whole));
+  CHECK(tracker.shifts == 1);
+  CHECK(tracker.present[0] == Shares{0, 0, 0, 1});
 }
 
 TEST_CASE("A pass that a newer one overtakes is given out as it is") {
   PassChoices pass;
-  Tell(pass, 0, 7, {1, 1, 1, 1});
-  const auto overtaken = Tell(pass, 1, 8, {5, 0, 0, 0});
-  REQUIRE(overtaken);
-  CHECK(overtaken->front() == std::vector<double>{1, 1, 1, 1});
+  Report(pass, 0, 7, {1, 1, 1, 1});
+  const auto superseded = Report(pass, 1, 8, {5, 0, 0, 0});
+  REQUIRE(superseded);
+  CHECK(superseded->front() == std::vector<double>{1, 1, 1, 1});
   SUBCASE("News that come late for it are dropped") {
-    CHECK_FALSE(Tell(pass, 1, 7, {9, 9, 9, 9}));
-    CHECK(Tell(pass, 0, 8, {0, 5, 0, 0})->front() ==
+    CHECK_FALSE(Report(pass, 1, 7, {9, 9, 9, 9}));
+    CHECK(Report(pass, 0, 8, {0, 5, 0, 0})->front() ==
           std::vector<double>{5, 5, 0, 0});
   }
 }
@@ -74,25 +74,25 @@
 // followed nothing, since no pass was ever whole.
 TEST_CASE("A rank that tells nothing is not waited for") {
   PassChoices pass;
-  Tell(pass, 0, 7, {1, 1, 1, 1});
-  CHECK_FALSE(TakeOverdue(pass, kStart + std::chrono::milliseconds(20)));
-  CHECK(TakeOverdue(pass, kStart + std::chrono::milliseconds(60)));
-  CHECK_FALSE(TakeOverdue(pass, kStart + std::chrono::milliseconds(90)));
+  Report(pass, 0, 7, {1, 1, 1, 1});
+  CHECK_FALSE(EmitIfOverdue(pass, kStart + std::chrono::milliseconds(20)));
+  CHECK(EmitIfOverdue(pass, kStart + std::chrono::milliseconds(60)));
+  CHECK_FALSE(EmitIfOverdue(pass, kStart + std::chrono::milliseconds(90)));
 }
 
 TEST_CASE("Steps of a new epoch begin anew, and those of an old one are late") {
   PassChoices pass;
-  Tell(pass, 0, 90, {1, 1, 1, 1});
-  CHECK(Tell(pass, 0, 2, {2, 2, 2, 2}, kStart, 2));
-  CHECK_FALSE(Tell(pass, 1, 91, {1, 1, 1, 1}));
-  CHECK(Tell(pass, 1, 2, {2, 2, 2, 2}, kStart, 2)->front()[0] == 4);
+  Report(pass, 0, 90, {1, 1, 1, 1});
+  CHECK(Report(pass, 0, 2, {2, 2, 2, 2}, kStart, 2));
+  CHECK_FALSE(Report(pass, 1, 91, {1, 1, 1, 1}));
+  CHECK(Report(pass, 1, 2, {2, 2, 2, 2}, kStart, 2)->front()[0] == 4);
 }
 
 TEST_CASE("Counts of another shape are dropped") {
   PassChoices pass;
-  CHECK_FALSE(Tell(pass, 0, 7, {1, 2, 3}));
-  CHECK_FALSE(Tell(pass, 0, 7, {}));
-  CHECK(pass.is_given_out);
+  CHECK_FALSE(Report(pass, 0, 7, {1, 2, 3}));
+  CHECK_FALSE(Report(pass, 0, 7, {}));
+  CHECK(pass.is_emitted);
 }
 
 TEST_CASE("Packed counts keep who is in demand") {
@@ -113,21 +113,21 @@
 // in every pass was four times what the owner's link carries.
 TEST_CASE("In a large group a part of the ranks tells of each pass") {
   for (uint64_t step = 1; step <= 4; ++step) {
-    int tellers = 0;
+    int reporters = 0;
     for (uint32_t rank = 0; rank < 32; ++rank) {
-      tellers += is_teller(rank, 32, step) ? 1 : 0;
+      reporters += is_reporter(rank, 32, step) ? 1 : 0;
     }
-    CHECK(tellers == 8);
+    CHECK(reporters == 8);
   }
   for (uint32_t rank = 0; rank < 8; ++rank) {
-    CHECK(is_teller(rank, 8, 5));
+    CHECK(is_reporter(rank, 8, 5));
   }
   PassChoices pass;
   constexpr ChoicesShape kLarge{.ranks = 32, .sets = 1, .experts = 4};
   std::optional<Choices> whole;
   const std::vector<uint32_t> counts{1, 0, 0, 0};
   for (uint32_t rank = 0; rank < 32; ++rank) {
-    if (is_teller(rank, 32, 6)) {
+    if (is_reporter(rank, 32, 6)) {
       CHECK_FALSE(whole);
       whole = AddChoices(
           pass, {.rank = rank, .epoch = 1, .step = 6, .counts = counts}, kLarge,
--- a/Tests/LibPlacement/TestRebalancer.cc
+++ b/Tests/LibPlacement/TestRebalancer.cc
@@ -41,7 +41,7 @@
 }
 
 // The shares of a moment: requests that run together share topics.
-Shares Waver(Shares shares, std::mt19937& random) {
+Shares AddNoise(Shares shares, std::mt19937& random) {
   std::normal_distribution<double> normal(0, 0.1);
   for (double& share : shares) {
     share *= std::exp(normal(random));
@@ -69,12 +69,12 @@
 
 // A virtual run: a step is observed every ten seconds, a plan asked for every
 // minute and switched to at once. Returns each plan's loads.
-struct Run {
+struct VirtualRun {
   Rebalancer rebalancer;
   TimePoint now{};
   std::mt19937 random{7};
 
-  std::vector<ExpertLoad> Pass(Duration length, const Shares& shares) {
+  std::vector<ExpertLoad> Advance(Duration length, const Shares& shares) {
     std::vector<ExpertLoad> all;
     for (const TimePoint end = this->now + length; this->now < end;) {
       this->now += std::chrono::seconds(10);
@@ -107,11 +107,12 @@
   RebalanceSettings settings = MakeSettings();
   // Loads cost nothing, so that only the noise holds the planner back.
   settings.skew_weight = 1;
-  Run run{.rebalancer = StartPackedFor(shares, settings)};
+  VirtualRun run{.rebalancer = StartPackedFor(shares, settings)};
   std::mt19937 random(3);
   size_t loads = 0;
   for (int minute = 0; minute < 120; ++minute) {
-    loads += run.Pass(std::chrono::minutes(1), Waver(shares, random)).size();
+    loads +=
+        run.Advance(std::chrono::minutes(1), AddNoise(shares, random)).size();
   }
   CHECK(loads == 0);
 }
@@ -123,21 +124,21 @@
   const Shape shape{.ranks = 3, .slots_per_rank = 2};
   const Shares shares{0.8, 0.1, 0.1};
   const LayerPlacement layer{{{0}, {1}, {2}}};
-  const auto first = ImproveLayer(layer, shares, shape, {.most_loads = 1});
+  const auto first = ImproveLayer(layer, shares, shape, {.max_loads = 1});
   REQUIRE(first.size() == 1);
-  const Copy went = first[0].loads[0];
-  const SearchLimits limits{.most_loads = 1, .recent = {went}};
+  const Copy added = first[0].loads[0];
+  const SearchLimits limits{.max_loads = 1, .recent = {added}};
   const auto second = ImproveLayer(layer, shares, shape, limits);
   REQUIRE(second.size() == 1);
-  CHECK(second[0].loads[0] != went);
+  CHECK(second[0].loads[0] != added);
   CHECK(PriceInLoads(first[0], limits) == limits.undo_price);
 }
 
 // The same story as a whole: what a plan brings and what it takes away is
 // remembered for the settle time, and is gone from memory afterwards.
 TEST_CASE("a plan's copies are remembered until they have settled") {
-  Run run{.rebalancer = StartPackedFor(ZipfShares(1), MakeSettings())};
-  CHECK(!run.Pass(std::chrono::minutes(30), ZipfShares(2)).empty());
+  VirtualRun run{.rebalancer = StartPackedFor(ZipfShares(1), MakeSettings())};
+  CHECK(!run.Advance(std::chrono::minutes(30), ZipfShares(2)).empty());
   const auto& recent = run.rebalancer.recent;
   CHECK(std::any_of(recent.begin(), recent.end(),
                     [](const auto& change) { return change.is_load; }));
@@ -154,8 +155,8 @@
 TEST_CASE("a burst stays within the hour's budget of loads") {
   RebalanceSettings settings = MakeSettings();
   settings.loads_per_hour = 6;
-  Run run{.rebalancer = StartPackedFor(ZipfShares(1), settings)};
-  const auto loads = run.Pass(std::chrono::minutes(59), ZipfShares(2));
+  VirtualRun run{.rebalancer = StartPackedFor(ZipfShares(1), settings)};
+  const auto loads = run.Advance(std::chrono::minutes(59), ZipfShares(2));
   CHECK(loads.size() > 0);
   CHECK(loads.size() <= 6);
   CHECK(ProposePlan(run.rebalancer, run.now).hold != HoldReason::kNone);
@@ -163,7 +164,7 @@
 
 // Two switches race when a plan is made while the last one is loading.
 TEST_CASE("no second plan while one is underway") {
-  Run run{.rebalancer = StartPackedFor(ZipfShares(1), MakeSettings())};
+  VirtualRun run{.rebalancer = StartPackedFor(ZipfShares(1), MakeSettings())};
   std::mt19937 random(1);
   for (int step = 1; step <= 20; ++step) {
     ObserveLayer(run.rebalancer, 0, SampleStep(ZipfShares(2), random),
@@ -180,8 +181,8 @@
 TEST_CASE("a skew weight of zero never moves") {
   RebalanceSettings settings = MakeSettings();
   settings.skew_weight = 0;
-  Run run{.rebalancer = StartPackedFor(ZipfShares(1), settings)};
-  CHECK(run.Pass(std::chrono::hours(1), ZipfShares(2)).empty());
+  VirtualRun run{.rebalancer = StartPackedFor(ZipfShares(1), settings)};
+  CHECK(run.Advance(std::chrono::hours(1), ZipfShares(2)).empty());
 }
 
 // A plan that drops the last copy of an expert leaves tokens without a rank;
@@ -230,17 +231,17 @@
 // The answer to a group's question is lost and the group asks again; or one
 // group asks ten times as often as the others to get their part.
 TEST_CASE("asking again grants nothing twice, and groups share evenly") {
-  StoreBudget budget{.bytes_per_second = 100, .most_saved_bytes = 1000};
+  StoreBudget budget{.bytes_per_second = 100, .burst_bytes = 1000};
   TimePoint now(std::chrono::hours(1));
-  CHECK(AskForBytes(budget, "a", 1, 5000, now) == 0);
-  CHECK(AskForBytes(budget, "b", 1, 5000, now) == 0);
+  CHECK(RequestBytes(budget, "a", 1, 5000, now) == 0);
+  CHECK(RequestBytes(budget, "b", 1, 5000, now) == 0);
   uint64_t granted = 0;
   for (int second = 1; second <= 20; ++second) {
     now += std::chrono::seconds(1);
     for (int again = 0; again < 10; ++again) {
-      granted = AskForBytes(budget, "a", 1, 5000, now);
+      granted = RequestBytes(budget, "a", 1, 5000, now);
     }
-    const uint64_t other = AskForBytes(budget, "b", 1, 5000, now);
+    const uint64_t other = RequestBytes(budget, "b", 1, 5000, now);
     CHECK(granted + other <= 100 * static_cast<uint64_t>(second));
   }
   CHECK(granted >= 900);
--- a/Tests/LibPlacement/TestSwitchPlan.cc
+++ b/Tests/LibPlacement/TestSwitchPlan.cc
@@ -12,7 +12,7 @@
 constexpr uint16_t kRanks = 8;
 constexpr size_t kSets = 6;
 constexpr SwitchLimits kLimits{.ranks = kRanks,
-                               .places_per_rank = 11,
+                               .expert_slots_per_rank = 11,
                                .spare = 4};
 constexpr Duration kPause = std::chrono::milliseconds(120);
 
@@ -25,8 +25,8 @@
 }
 
 // In each set another expert is hot; `hot` is its share.
-Drift DemandWith(const std::vector<double>& hot) {
-  Drift demand;
+DemandTracker DemandWith(const std::vector<double>& hot) {
+  DemandTracker demand;
   for (size_t set = 0; set < hot.size(); ++set) {
     Shares shares(kExperts, (1 - hot[set]) / (kExperts - 1));
     shares[set] = hot[set];
@@ -71,7 +71,7 @@
   CHECK(CopiesPerRank(Duration(0)) == 1);
   SwitchLimits limits = kLimits;
   limits.copies_per_rank = 2;
-  const Drift demand = DemandWith({0.3, 0.3, 0.3, 0.3, 0.3, 0.3});
+  const DemandTracker demand = DemandWith({0.3, 0.3, 0.3, 0.3, 0.3, 0.3});
   const SwitchPlan one = PlanSwitch(InTurn(), demand, kLimits);
   const SwitchPlan two = PlanSwitch(InTurn(), demand, limits);
   CHECK(two.copies > one.copies);
@@ -110,7 +110,7 @@
 TEST_CASE("A slow rank of many does not hold back copies for the others") {
   SwitchLimits limits = kLimits;
   limits.copies_per_rank = 6;
-  const Drift demand = DemandWith({0.3, 0.3, 0.3, 0.3, 0.3, 0.3});
+  const DemandTracker demand = DemandWith({0.3, 0.3, 0.3, 0.3, 0.3, 0.3});
   limits.paces = std::vector<double>(kRanks, 1);
   limits.paces[3] = 1.5;
   constexpr uint32_t kFewInASet = 4;
@@ -120,10 +120,10 @@
 // Story: on a calm day, with passes of 40 ms where 120 are allowed, copies
 // cost more than all else the product decides, and no caller was better off.
 TEST_CASE("The shorter the passes, the more a switch must gain") {
-  CHECK(LeastGainOfSwitch(kPause * 9 / 10, kPause) == doctest::Approx(0.12));
-  CHECK(LeastGainOfSwitch(kPause / 2, kPause) == doctest::Approx(0.12));
-  CHECK(LeastGainOfSwitch(kPause / 3, kPause) > 0.5);
-  CHECK(LeastGainOfSwitch(kPause / 5, kPause) > 1.4);
+  CHECK(MinGainOfSwitch(kPause * 9 / 10, kPause) == doctest::Approx(0.12));
+  CHECK(MinGainOfSwitch(kPause / 2, kPause) == doctest::Approx(0.12));
+  CHECK(MinGainOfSwitch(kPause / 3, kPause) > 0.5);
+  CHECK(MinGainOfSwitch(kPause / 5, kPause) > 1.4);
 }
 
 }  // namespace bramleyspan::placement
