--- a/Libraries/LibAdmission/Admission.cc
+++ b/Libraries/LibAdmission/Admission.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Each new measurement counts this share of the mean.
+// The weight of a new sample in the decayed sums.
 constexpr double kSampleWeight = 1.0 / 32;
 
 Duration Microseconds(double count) {
@@ -19,9 +19,10 @@
   weight = weight * (1 - kSampleWeight) + count;
 }
 
-// Mean time from start to end. The ages of what runs now bound it from below:
-// when an engine starts to limp nothing ends for a while, and a mean over ends
-// alone would go on to promise the old pace.
+// Returns the mean time from start to end of a request, in microseconds. The
+// mean age of running requests is a lower bound: when an engine slows down
+// nothing ends for a while, and a mean over ended requests alone would keep the
+// old, short value.
 double MeanService(const Admission& admission, TimePoint now) {
   const Measurements& measurements = admission.measurements;
   const double ended =
@@ -44,7 +45,7 @@
   return tokens > cached ? tokens - cached : 1;
 }
 
-// Time from start to the first token.
+// Returns the expected time from start to the first token, in microseconds.
 double MeanPrefill(const Admission& admission, const Request& request) {
   const Duration expected = Predict(admission.measurements.prefill,
                                     UncachedTokens(admission, request));
@@ -70,9 +71,10 @@
   return now - std::max(oldest, admission.last_progress);
 }
 
-// A frozen engine sends no event at all. What shows is silence much longer
-// than the interval at which ends are due; how long it will go on is best
-// guessed by how long it has lasted.
+// Returns how long the back end has been stalled; zero if it is not. A frozen
+// engine sends no event, so a stall shows only as a gap much longer than the
+// expected interval between ends. The best guess of a stall's remaining time is
+// the time it has lasted.
 Duration StallDuration(const Admission& admission, TimePoint now) {
   const Duration elapsed = TimeSinceProgress(admission, now);
   const auto running =
@@ -101,8 +103,9 @@
                           drain_interval);
 }
 
-// Spreads the returns of the refused over the time that the queue needs to
-// take them: all told the same second would come back as one herd.
+// Returns the delay after which a refused caller should retry. Retries are
+// spread over the time that the queue needs to serve them; equal delays would
+// make all callers retry in the same second.
 Duration RetryAfter(Admission& admission, Duration excess, TimePoint now) {
   admission.retries_until = std::max(admission.retries_until, now + excess) +
                             Microseconds(DrainInterval(admission, now));
@@ -121,7 +124,7 @@
       Running{.request = request, .started = now, .uncached_tokens = uncached});
 }
 
-void GiveUpLate(Admission& admission, TimePoint now, Effects& effects) {
+void RefuseLate(Admission& admission, TimePoint now, Effects& effects) {
   const double drain_interval = DrainInterval(admission, now);
   const Duration stall = StallDuration(admission, now);
   for (auto& queue : admission.queues.waiting) {
@@ -136,7 +139,7 @@
         return false;
       }
       const Duration excess = now + needed - request.deadline;
-      effects.give_up.push_back(
+      effects.refuse.push_back(
           {request.id, RetryAfter(admission, excess, now)});
       return true;
     });
@@ -228,7 +231,7 @@
 Effects Review(Admission& admission, TimePoint now) {
   Effects effects;
   DetectStall(admission, now);
-  GiveUpLate(admission, now, effects);
+  RefuseLate(admission, now, effects);
   StartWaiting(admission, now, effects);
   return effects;
 }
--- a/Libraries/LibAdmission/ClassQueues.cc
+++ b/Libraries/LibAdmission/ClassQueues.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Rounds of the fixed point in WaitMicroseconds; each adds what arrives during
-// the wait that the round before found.
+// Iterations of the fixed point in WaitMicroseconds. Each adds the arrivals
+// expected during the wait that the previous one found.
 constexpr int kRounds = 12;
 
 }  // namespace
@@ -37,8 +37,9 @@
 void Push(ClassQueues& queues, const Request& request) {
   const size_t index = IndexOf(request.service_class);
   if (queues.waiting[index].empty()) {
-    // A class that was idle saves up no right to the next starts: else a
-    // night without batch would give batch every slot in the morning.
+    // An idle class must not accumulate a claim to the next starts: otherwise
+    // batch would take every slot in the morning after a night without batch
+    // requests.
     queues.pass[index] = std::max(queues.pass[index], queues.virtual_time);
   }
   queues.waiting[index].push_back(request);
--- a/Libraries/LibAdmission/ClassQueues.h
+++ b/Libraries/LibAdmission/ClassQueues.h
@@ -1,6 +1,6 @@
-// Waiting requests by class of service, served by stride scheduling
-// (Waldspurger and Weihl, 1995): each class gets starts in proportion to its
-// weight while it waits, so that an urgent class goes first and none starves.
+// Queues of waiting requests by class of service, served by stride scheduling
+// (Waldspurger and Weihl, 1995): while classes wait, each gets starts in
+// proportion to its weight, so urgent classes go first and none starves.
 #pragma once
 
 #include <array>
@@ -15,32 +15,35 @@
 
 inline constexpr size_t kClasses = 3;
 
-// A request as admission sees it.
+// The properties of a request that admission uses.
 struct Request {
   uint64_t id = 0;
   catalogue::ServiceClass service_class = catalogue::ServiceClass::kStandard;
-  // When the first token has to be there.
+  // The time by which the first token is due.
   TimePoint deadline;
   uint32_t prompt_tokens = 0;
-  // Names the first part of the prompt; zero names none.
+  // A hash of the first part of the prompt; zero for none.
   uint64_t prefix = 0;
 };
 
-// Shares of the starts while all classes wait: interactive, standard, batch.
+// Relative shares of the starts while all classes wait: interactive, standard,
+// batch.
 using ClassWeights = std::array<double, kClasses>;
 
 struct ClassQueues {
   ClassWeights weights{16, 4, 1};
   std::array<std::deque<Request>, kClasses> waiting;
-  // The virtual time at which a class may start its next request.
+  // The virtual time at which each class may start its next request: the pass
+  // value of stride scheduling.
   std::array<double, kClasses> pass{};
   double virtual_time = 0;
-  // Decayed counts of what was taken lately, and when they were decayed.
+  // Decayed counts of recently admitted requests by class, and when they were
+  // last decayed.
   std::array<double, kClasses> admitted{};
   TimePoint decayed_at;
 };
 
-// Over this time what was taken counts for the rate of arrivals.
+// The time constant of the admitted counts, which estimate the arrival rate.
 inline constexpr Duration kArrivalWindow = std::chrono::seconds(5);
 
 inline size_t IndexOf(catalogue::ServiceClass service_class) {
@@ -49,24 +52,26 @@
 
 size_t CountWaiting(const ClassQueues& queues);
 
-// Notes that a request was taken, whether it waits or starts at once.
+// Counts an admitted request, whether it waits or starts at once.
 void RecordAdmitted(ClassQueues& queues,
                     catalogue::ServiceClass service_class,
                     TimePoint now);
 
 void Push(ClassQueues& queues, const Request& request);
 
-// Takes the request that starts next.
+// Removes and returns the request that starts next; none if nothing waits.
 std::optional<Request> Pop(ClassQueues& queues);
 
-// Forgets a waiting request. Returns false if it does not wait.
+// Removes a waiting request. Returns false if it is not waiting.
 bool Remove(ClassQueues& queues, uint64_t id);
 
-// The time until a request starts that has `position` requests of its own class
-// before it, if a start takes place every `start_interval` and `free_slots` can
-// be started at once. What more urgent classes will take meanwhile counts: an
-// estimate from the queue alone promises batch a place that later interactive
-// requests take, and batch is then given up on near its deadline.
+// Returns the time in microseconds until a request starts that has `position`
+// requests of its own class before it, if one request starts every
+// `start_interval_microseconds` and `free_slots` more can start at once. It
+// includes expected arrivals of the other classes up to their weights: an
+// estimate from the queue alone promises batch requests starts that later
+// interactive requests take, and they are then refused close to their
+// deadlines.
 double WaitMicroseconds(const ClassQueues& queues,
                         catalogue::ServiceClass service_class,
                         size_t position,
--- a/Libraries/LibAdmission/PrefillModel.cc
+++ b/Libraries/LibAdmission/PrefillModel.cc
@@ -6,11 +6,12 @@
 
 namespace {
 
-// The share of a new measurement in the sums.
+// The weight of a new sample in the decayed sums.
 constexpr double kSampleWeight = 1.0 / 32;
 
-// Lengths that spread less than this share of their mean show no slope: noise
-// in the time would be taken for a cost per token.
+// The least standard deviation of prompt lengths, relative to their mean, from
+// which a cost per token is estimated. With less spread, noise in the times
+// would pass for a cost per token.
 constexpr double kMinSpread = 0.1;
 
 void AddDecayed(double& sum, double value) {
--- a/Libraries/LibAdmission/PrefillModel.h
+++ b/Libraries/LibAdmission/PrefillModel.h
@@ -1,6 +1,5 @@
-// How long a prompt takes to its first token, learnt from those that came
-// before: a fixed cost and a cost per token, by least squares over decayed
-// sums.
+// Estimates the time to the first token of a prompt as a fixed cost plus a cost
+// per token, by least squares over decayed sums of past prompts.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +8,7 @@
 
 namespace bramleyspan::admission {
 
-// Decayed sums over what was measured, in tokens and microseconds.
+// Decayed sums over the samples, in tokens and microseconds.
 struct PrefillModel {
   double weight = 0;
   double tokens = 0;
@@ -18,12 +17,12 @@
   double tokens_time = 0;
 };
 
-// Takes in that a prompt of `tokens` uncached tokens took `time`.
+// Adds a sample: a prompt of `tokens` uncached tokens took `time`.
 void AddSample(PrefillModel& model, uint32_t tokens, Duration time);
 
-// The time that a prompt of `tokens` uncached tokens is expected to take; zero
-// while nothing was measured. Prompts of one length show no cost per token,
-// and none is assumed then.
+// Returns the expected time of a prompt of `tokens` uncached tokens; zero
+// without samples. Prompts of one length reveal no cost per token, so none is
+// assumed then.
 Duration Predict(const PrefillModel& model, uint32_t tokens);
 
 }  // namespace bramleyspan::admission
--- a/Libraries/LibAdmission/RankAdmission.cc
+++ b/Libraries/LibAdmission/RankAdmission.cc
@@ -7,54 +7,58 @@
 
 namespace {
 
+// The limit on streams is never below this.
 constexpr double kMinLimit = 2;
-// Streams a rank runs at once before anything is known of its passes: a group
-// that was formed anew has its first map.
+// The limit on streams before any pass is observed: a re-formed group runs its
+// first map, which does not match demand yet.
 constexpr double kInitialLimit = 5;
-// From there a rank takes more with each pass that is shorter than this part of
-// the longest pause.
+// The limit grows by kLimitGrowthPerPass with each pass shorter than this
+// fraction of the longest pause.
 constexpr double kLimitGrowthPerPass = 0.25;
 constexpr double kShortPassFraction = 0.7;
-// Reading prompts and preparing maps need room beside the running streams.
+// The maximum number of streams as a fraction of the slots. Reading prompts and
+// preparing maps need room beside the running streams.
 constexpr double kMaxSlotFraction = 0.7;
-// What may run at least where jumps of demand make passes too long.
+// The limit stays at least this fraction of the slots where demand shifts make
+// passes too long.
 constexpr double kMinSlotFractionAtShifts = 0.5;
-// Until a map that fits is there, passes after a jump may take this part of the
-// longest pause.
+// The fraction of the longest pause that passes may take after a demand shift,
+// until a matching map is in place.
 constexpr double kShiftPassFraction = 0.92;
-// A rank is overloaded once it runs more than this part of what may run, until
-// it runs less than the other part of what fits with jumps: what comes and goes
-// in a moment is better let in.
+// A rank becomes overloaded above this fraction of the maximum, and stops being
+// so below kRelievedFraction of the limit at shifts. Short bursts are better
+// admitted.
 constexpr double kOverloadedFraction = 0.8;
 constexpr double kRelievedFraction = 0.7;
-// A rank that runs less than this part of its slots has less than its group.
+// The least number of running streams that the cost per stream is computed for,
+// as a fraction of the slots. A rank with fewer has less load than its group.
 constexpr double kMinRunningFraction = 0.45;
-// The part of the longest pause at which a pass is held, so that unusual ones
-// stay under it too.
+// The pass duration that the limit aims at, as a fraction of the longest pause.
+// The margin keeps unusually long passes below the pause too.
 constexpr double kPassBudgetFraction = 0.85;
-// Passes are averaged over this time.
+// The window over which pass durations are averaged.
 constexpr Duration kPassWindow = std::chrono::milliseconds(300);
-// A place whose stream was not told of any more is free again after this time:
-// the gateway may have died, or its datagram was lost.
+// A reservation without a further report expires after this time: the gateway
+// may have died, or its datagram may be lost.
 constexpr Duration kReservationTimeout = std::chrono::milliseconds(800);
-// A report older than this says nothing of the rank.
+// No permit is granted on a report older than this.
 constexpr Duration kMaxReportAge = std::chrono::milliseconds(500);
-// A jump of demand makes passes long until copies are there; only after this
-// time is a group slow.
+// A demand shift makes passes long until copies arrive; a group counts as slow
+// only after this time.
 constexpr Duration kSlowDelay = std::chrono::milliseconds(700);
-// A slow group takes late streams while its passes are no longer than this
-// many times the longest pause: they have to end before their callers leave.
+// A slow group admits late streams while passes take at most this many times
+// the longest pause: the streams must end before their callers leave.
 constexpr double kMaxSlowPassFactor = 1.6;
-// Late streams fill no more than this part of what may run, so that those in
-// time find a place: gateways that have only late ones waiting would take every
-// place that comes free, and in a minute all streams would be late.
+// Late streams fill at most this fraction of the limit, which leaves permits
+// for streams in time. Gateways with only late requests waiting would otherwise
+// take every free permit, and within a minute all streams would be late.
 constexpr double kLateLimitFraction = 0.75;
-// A rank that takes this many times as long as usual is left alone.
+// A rank whose pace reaches this grants no permits.
 constexpr double kSlowPace = 1.5;
 
-// A gateway asks so many ranks at once and takes one place.
+// A gateway probes this many ranks at once and takes one permit.
 constexpr double kProbesPerPermit = 6;
-// A gateway decides within six milliseconds, and its word takes one or two.
+// A gateway decides within 6 ms, and its message takes 1 to 2 ms.
 constexpr Duration kOfferLifetime = std::chrono::milliseconds(9);
 
 double SecondsOf(Duration time) {
@@ -65,8 +69,8 @@
   return std::max(kMinLimit, kMaxSlotFraction * admission.settings.slots);
 }
 
-// How long a pass took lately, without the one under way; zero if too few were
-// seen to tell.
+// Returns the mean duration of the recent passes without the one under way;
+// zero if too few were observed.
 Duration MeanPass(const RankAdmission& admission) {
   constexpr uint64_t kMinPasses = 2;
   if (admission.passes.empty()) {
@@ -80,7 +84,8 @@
              : (last.at - first.at) / static_cast<int64_t>(count);
 }
 
-// Streams that may run for passes to stay short enough after a jump too.
+// Returns how many streams may run for passes to stay short enough after a
+// demand shift too.
 double LimitAtShifts(const RankAdmission& admission, TimePoint now) {
   const double cost = PeakCostOf(admission.costs, now);
   if (cost <= 0) {
@@ -89,23 +94,25 @@
   const double pass_budget =
       kShiftPassFraction * SecondsOf(admission.settings.longest_pause) -
       SecondsOf(admission.settings.min_pass);
-  const double least =
+  const double min_limit =
       std::max(kMinLimit, kMinSlotFractionAtShifts * admission.settings.slots);
-  return std::clamp(pass_budget / cost, least, MaxLimitOf(admission));
+  return std::clamp(pass_budget / cost, min_limit, MaxLimitOf(admission));
 }
 
-// Places that will be taken of the offers that are open.
+// Returns the number of open offers that are expected to be taken.
 double ExpectedReservations(const RankAdmission& admission, TimePoint now) {
   const auto open =
       std::count_if(admission.open_offers.begin(), admission.open_offers.end(),
                     [now](TimePoint at) { return now - at <= kOfferLifetime; });
-  // While a group fills, the first ranks to open are the only ones to offer.
+  // While a group opens, the first ranks to open are the only ones to offer
+  // permits.
   const bool is_filling = admission.start_limit < MaxLimitOf(admission);
   return static_cast<double>(open) / (is_filling ? 1 : kProbesPerPermit);
 }
 
-// Failure: a group opens, its first passes hold no writers and are short, and
-// all that waited is let in at once; a few passes later every stream is late.
+// Resets the limit when a group opens. Its first passes hold no streams that
+// generate tokens and are short; a limit computed from them admits all waiting
+// requests at once, and a few passes later every stream is late.
 void ResetStartLimitOnOpen(RankAdmission& admission, const RankLoad& load) {
   const RankLoad& before = admission.reported;
   const bool has_opened =
@@ -219,16 +226,16 @@
   if (excess <= 0 || admission.reported.running == 0) {
     return std::min(kInitialLimit, MaxLimitOf(admission));
   }
-  const double max_limit = admission.is_overloaded
-                               ? LimitAtShifts(admission, now)
-                               : MaxLimitOf(admission);
-  const double most =
-      std::max(kMinLimit, std::min(admission.start_limit, max_limit));
+  const double steady_limit = admission.is_overloaded
+                                  ? LimitAtShifts(admission, now)
+                                  : MaxLimitOf(admission);
+  const double max_limit =
+      std::max(kMinLimit, std::min(admission.start_limit, steady_limit));
   const double per_stream = excess / admission.reported.running;
   const double pass_budget =
       kPassBudgetFraction * SecondsOf(admission.settings.longest_pause) -
       min_pass;
-  return std::clamp(pass_budget / per_stream, kMinLimit, most);
+  return std::clamp(pass_budget / per_stream, kMinLimit, max_limit);
 }
 
 PermitOffer OfferOf(const RankAdmission& admission,
--- a/Libraries/LibAdmission/RankAdmission.h
+++ b/Libraries/LibAdmission/RankAdmission.h
@@ -1,12 +1,13 @@
-// How many streams the rank beside an agent takes at once. All ranks of a group
-// advance together, so that each further stream makes every pass longer; past
-// a point every stream is late. What has no place waits at the gateway, where
-// it costs no rank anything and can be refused while the caller has time left.
+// Decides how many streams the rank beside an agent runs concurrently. All
+// ranks of a group advance in lock step, so each further stream lengthens every
+// pass; past a point every stream is late. A request without a permit waits at
+// the gateway, where it costs no rank anything and can be refused while its
+// caller still has time.
 //
-// The agent reads its rank's report every few ticks from its own machine, free
-// and fresh, so that it knows the load within milliseconds; a gateway's own
-// view of what the others sent is a heartbeat old, and gateways that choose by
-// such views all send to the same rank.
+// The agent polls its rank's report every few ticks on the same machine, so it
+// knows the load within milliseconds. A gateway's view of what the other
+// gateways sent is a heartbeat old, and gateways that choose by such views all
+// choose the same rank.
 #pragma once
 
 #include <compare>
@@ -22,34 +23,35 @@
 namespace bramleyspan::admission {
 
 struct RankAdmissionSettings {
-  // Streams that the rank's engine runs at once.
+  // Streams that the rank's engine runs concurrently.
   uint32_t slots = 12;
-  // The longest pause between a stream's events that is on time. An event comes
-  // with each pass.
+  // The longest pause between two events of a stream that is not late. Each
+  // pass yields one event.
   Duration longest_pause = std::chrono::milliseconds(120);
-  // What a pass takes with hardly anything to do.
+  // The duration of a pass with hardly any work.
   Duration min_pass = std::chrono::milliseconds(18);
 };
 
-// What the rank says of itself.
+// The load that the rank reports.
 struct RankLoad {
   uint64_t epoch = 0;
-  // The last pass begun.
+  // The last pass that has begun.
   uint64_t step = 0;
   uint32_t running = 0;
   uint32_t queued = 0;
-  // How many times as long as usual the rank's own work takes.
+  // The factor by which the rank's own work takes longer than usual.
   double pace = 1;
   bool is_open = false;
 };
 
-// A pass, and when it was first seen.
+// A pass and when it was first observed.
 struct ObservedPass {
   uint64_t step = 0;
   TimePoint at;
 };
 
-// Names a place that was taken: the gateway's address and its own number.
+// Identifies a permit taken before its stream runs, by the gateway's address
+// and the gateway's own number.
 struct Reservation {
   std::string gateway;
   uint64_t number = 0;
@@ -61,72 +63,74 @@
   RankAdmissionSettings settings;
   RankLoad reported;
   TimePoint reported_at;
-  // Places that gateways took whose streams have not begun. An engine counts a
-  // stream only once it runs, a tenth of a second after it came.
+  // Permits taken by gateways whose streams have not begun. An engine counts a
+  // stream only once it runs, 0.1 s after it arrived.
   std::map<Reservation, TimePoint> reservations;
-  // When places were offered that nobody may have taken yet.
+  // The times of offers that no gateway may have taken yet.
   std::deque<TimePoint> open_offers;
-  // Passes of the last moment, the oldest first.
+  // Recent passes, the oldest first.
   std::deque<ObservedPass> passes;
   StreamCosts costs;
-  // Whether nearly all that may run has been running for a while.
+  // Whether the mean number of running streams has been close to the maximum.
   bool is_overloaded = false;
-  // Streams taken at most while nothing is known of passes under their load.
+  // The limit on streams while no passes under their load have been observed.
   double start_limit = 0;
-  // Since when every pass has been longer than a pause may be; none if they are
-  // not.
+  // The time since which every pass has exceeded the longest pause; none if
+  // passes are shorter.
   std::optional<TimePoint> slow_since;
 };
 
-// An agent's answer to a gateway that looks for a place.
+// An agent's answer to a gateway that requests a permit.
 struct PermitOffer {
   bool is_admitting = false;
-  // Every stream of the group is late for a while, because a rank is slow.
+  // Set if every stream of the group has been late for a while because a rank
+  // is slow.
   bool is_slow = false;
   uint32_t load = 0;
   double limit = 0;
-  // How long a pass takes at present; zero if nothing runs.
+  // The present duration of a pass; zero if nothing runs.
   Duration pass{};
 };
 
-// Takes the rank's newest report.
+// Applies the rank's newest report.
 void RecordReport(RankAdmission& admission,
                   const RankLoad& load,
                   TimePoint now);
 
-// A gateway took a place.
+// Records a permit that a gateway took.
 void RecordReservation(RankAdmission& admission,
                        Reservation reservation,
                        TimePoint now);
 
-// A place was offered to a gateway that asks several ranks at once.
+// Records a permit offered to a gateway that probes several ranks at once.
 //
-// Failure: all that waited ask at the same moment, and until the first of them
-// says what it took, each is offered the same empty places. It shows as ranks
-// far above their limit and passes that make every stream late. So an offer
-// counts for the part of a place that will be taken of it, until the gateway
-// has decided.
+// All gateways with waiting requests probe at the same moment and, until the
+// first reports what it took, would be offered the same free permits: ranks
+// then far exceed their limit and passes make every stream late. An open offer
+// therefore counts as the fraction of a permit that is expected to be taken,
+// until the gateway has decided.
 void RecordOffer(RankAdmission& admission, TimePoint now);
 
-// The stream that took it has begun or is over.
+// Removes a reservation whose stream has begun or ended.
 void RemoveReservation(RankAdmission& admission,
                        const Reservation& reservation);
 
-// Streams at the rank, those on their way among them; offers that are open are
-// not.
+// Returns the number of streams at the rank, including reservations but not
+// open offers.
 uint32_t LoadOf(const RankAdmission& admission);
 
-// How long a pass took lately, the one under way included.
+// Returns the recent duration of a pass, including the one under way; zero if
+// nothing runs.
 Duration PassOf(const RankAdmission& admission, TimePoint now);
 
-// Streams that may run at once for passes to stay short enough. A pass grows
-// with the streams by what the last ones took, so that the limit is right at
-// once when a slow rank has recovered or the map has been switched.
+// Returns how many streams may run at once for passes to stay short enough. It
+// is computed from the cost per stream in the last passes, so it is correct at
+// once after a slow rank has recovered or the map has switched.
 double LimitOf(const RankAdmission& admission, TimePoint now);
 
-// Whether there is a place. A stream that is late in any case (`is_late`) may
-// also join a group whose streams are all late: that is worth less than one in
-// time and more than a refusal.
+// Returns whether the rank grants a permit, and its load. A request that is
+// late in any case (`is_late`) may also join a group whose streams are all
+// late: a late answer is worth less than one in time but more than a refusal.
 PermitOffer OfferOf(const RankAdmission& admission,
                     bool is_late,
                     TimePoint now);
--- a/Libraries/LibAdmission/RecentPrefixes.h
+++ b/Libraries/LibAdmission/RecentPrefixes.h
@@ -1,7 +1,7 @@
-// What an agent remembers of the prompts that it forwarded lately: a guess at
-// what the engine's prefix cache holds. The engine's own cache events come
-// late and with gaps, so that the guess may be wrong; it only ever orders
-// candidates and never decides whether a request is taken.
+// Records the prefixes of the prompts that an agent forwarded recently, to
+// estimate what the engine's prefix cache holds. The engine's own cache events
+// arrive late and with gaps, so this estimate may be wrong. It enters the
+// expected time to the first token and the ranking of candidates.
 #pragma once
 
 #include <cstddef>
@@ -11,8 +11,8 @@
 
 namespace bramleyspan::admission {
 
-// Prefixes with the number of their last use. Plain values, so that a copy of
-// the state stands alone.
+// A least-recently-used set of prefixes. It holds plain values, so that a copy
+// of the state is independent.
 struct RecentPrefixes {
   struct Entry {
     uint32_t tokens = 0;
@@ -24,10 +24,12 @@
   std::map<uint64_t, uint64_t> prefix_by_use;
 };
 
-// A prompt of which the first `tokens` have this prefix was forwarded.
+// Records that a prompt was forwarded whose first `tokens` tokens have this
+// prefix.
 void RecordPrefix(RecentPrefixes& prefixes, uint64_t prefix, uint32_t tokens);
 
-// The tokens of this prefix that are probably cached; zero for none.
+// Returns the number of tokens of this prefix that are probably cached; zero if
+// the prefix is not recorded.
 uint32_t CachedTokens(const RecentPrefixes& prefixes, uint64_t prefix);
 
 }  // namespace bramleyspan::admission
--- a/Libraries/LibAdmission/StreamCosts.cc
+++ b/Libraries/LibAdmission/StreamCosts.cc
@@ -10,15 +10,16 @@
 
 using Seconds = std::chrono::duration<double>;
 
-// Jumps matter if a stream is likely to live to see one.
+// The number of stream lifetimes over which costs are retained. A demand shift
+// matters if a stream is likely to live through one.
 constexpr double kLifetimesRetained = 3;
 constexpr Duration kMinRetention = std::chrono::seconds(1);
 constexpr Duration kMaxRetention = std::chrono::seconds(8);
 constexpr Duration kAveragingWindow = std::chrono::seconds(2);
 constexpr double kMinReservationsPerSecond = 1e-3;
 
-// By Little's law a stream lasts as long as it takes to fill the running ones
-// anew.
+// Returns how long costs are retained. By Little's law a stream lasts as long
+// as it takes to replace all running streams.
 Duration RetentionOf(const StreamCosts& costs) {
   const Seconds lifetime(
       costs.mean_running /
@@ -34,12 +35,12 @@
   if (elapsed <= 0) {
     return;
   }
-  const double share =
+  const double weight =
       1 - std::exp(-elapsed / Seconds(kAveragingWindow).count());
-  costs.mean_running += share * (sample.running - costs.mean_running);
+  costs.mean_running += weight * (sample.running - costs.mean_running);
   const double reserved = std::exchange(costs.new_reservations, 0U);
   costs.reservations_per_second +=
-      share * (reserved / elapsed - costs.reservations_per_second);
+      weight * (reserved / elapsed - costs.reservations_per_second);
 }
 
 }  // namespace
--- a/Libraries/LibAdmission/StreamCosts.h
+++ b/Libraries/LibAdmission/StreamCosts.h
@@ -1,10 +1,11 @@
-// What a running stream adds to a pass, and what it added at the worst moment
-// of the last few lives of a stream. Answers load near capacity under demand
-// that jumps.
+// Tracks how much a running stream adds to the duration of a pass, and the peak
+// of this cost over the last few stream lifetimes. It bounds the load near
+// capacity while demand shifts.
 //
-// Failure: passes are short enough for many streams to run, demand jumps, and
-// until copies are there each pass is longer than a pause may be. Where jumps
-// come every few seconds, most streams live to see one and are late.
+// Without the peak, passes are short enough for many streams to run, demand
+// shifts, and each pass exceeds the longest pause until copies arrive. Where
+// demand shifts every few seconds, most streams live through a shift and are
+// late.
 #pragma once
 
 #include <cstdint>
@@ -20,33 +21,35 @@
 };
 
 struct StreamCosts {
-  // Running streams and places taken in a second, averaged over the last
+  // Running streams, and reservations per second, averaged over the last
   // seconds.
   double mean_running = 0;
   double reservations_per_second = 0;
-  // Places taken since the last report.
+  // Reservations since the last report.
   uint32_t new_reservations = 0;
-  // The dearest streams of the last seconds, the dearest first; each is newer
+  // The highest costs of the last seconds in descending order; each is newer
   // than the one before it.
   std::deque<ObservedCost> peaks;
 };
 
-// What a report shows.
+// The observations of one report.
 struct CostSample {
   uint32_t running = 0;
-  // What passes took beyond one with hardly anything to do; zero if too few
-  // were seen to tell.
+  // The duration of passes beyond that of a pass with hardly any work; zero if
+  // too few passes were observed.
   Duration excess{};
-  // Since the last report.
+  // The time since the last report.
   Duration elapsed{};
-  // Streams that a rank runs at least if its load is like its group's.
+  // The number of running streams that a cost is divided by at least: a rank
+  // with fewer has less load than its group, whose passes it shares.
   double min_running = 1;
 };
 
+// Adds a sample to the averages and, if it shows a cost, to the peaks.
 void RecordCost(StreamCosts& costs, const CostSample& sample, TimePoint now);
 
-// The dearest stream of the last few lives of one, in seconds of a pass; zero
-// if nothing is known.
+// Returns the highest cost of a stream over the last few stream lifetimes, in
+// seconds of a pass; zero if none is known.
 double PeakCostOf(const StreamCosts& costs, TimePoint now);
 
 }  // namespace bramleyspan::admission
--- a/Libraries/LibPlacement/Copies.cc
+++ b/Libraries/LibPlacement/Copies.cc
@@ -11,12 +11,12 @@
 double SkewOfLoads(const std::vector<double>& loads,
                    const std::vector<double>& paces) {
   double total = 0;
-  double most = 0;
+  double max_time = 0;
   for (size_t rank = 0; rank < loads.size(); ++rank) {
     total += loads[rank];
-    most = std::max(most, loads[rank] * detail::PaceOf(paces, rank));
+    max_time = std::max(max_time, loads[rank] * detail::PaceOf(paces, rank));
   }
-  return total == 0 ? 1 : most * static_cast<double>(loads.size()) / total;
+  return total == 0 ? 1 : max_time * static_cast<double>(loads.size()) / total;
 }
 
 }  // namespace
@@ -39,7 +39,8 @@
   detail::CopySearch search(lists, shares, remembered, limits, new_on_rank);
   CopyPlan plan{.lists = lists, .skew_before = search.skew()};
   plan.skew_after = plan.skew_before;
-  // Some copies lower the skew only together with those that follow.
+  // Some copies lower the skew only together with later ones, so steps without
+  // enough gain are kept until a later step shows whether they pay.
   std::vector<detail::CopyStep> steps;
   while (steps.size() < limits.max_copies) {
     const auto step = search.FindBestStep();
@@ -49,8 +50,8 @@
     search.Apply(*step);
     steps.push_back(*step);
     const double skew = search.skew();
-    const auto more = static_cast<double>(steps.size() - plan.copies);
-    if (plan.skew_after - skew >= more * limits.min_gain) {
+    const auto new_steps = static_cast<double>(steps.size() - plan.copies);
+    if (plan.skew_after - skew >= new_steps * limits.min_gain) {
       plan.skew_after = skew;
       plan.copies = static_cast<uint32_t>(steps.size());
     }
--- a/Libraries/LibPlacement/CopySearch.cc
+++ b/Libraries/LibPlacement/CopySearch.cc
@@ -8,14 +8,15 @@
 
 namespace {
 
-// What a remembered demand counts against a present one.
+// The weight of remembered demand relative to present demand.
 constexpr double kRememberedWeight = 0.3;
-// A copy that waits behind another on its rank's link comes later; it counts
-// as this much more load.
+// The load added to a copy's gain estimate for each copy that is queued before
+// it on its rank's link, since it arrives later.
 constexpr double kQueuedCopyLoad = 0.02;
 
-// Of several ranks that are equally loaded none lowers the skew by itself. The
-// sum of these weights falls with each, and is ruled by the most loaded ones.
+// Returns the eighth power of a load. Relieving one of several equally loaded
+// ranks does not lower the skew but does lower the sum of these penalties,
+// which the most loaded ranks dominate.
 double LoadPenalty(double load) {
   const double square = load * load;
   return square * square * square * square;
@@ -102,11 +103,11 @@
 }
 
 double CopySearch::skew() const {
-  double most = 1;
+  double max_time = 1;
   for (size_t rank = 0; rank < this->loads.size(); ++rank) {
-    most = std::max(most, this->TimeOf(rank, this->loads[rank]));
+    max_time = std::max(max_time, this->TimeOf(rank, this->loads[rank]));
   }
-  return most;
+  return max_time;
 }
 
 void CopySearch::AddChange(size_t rank, double delta) {
@@ -120,18 +121,18 @@
 }
 
 void CopySearch::Redistribute(uint16_t expert,
-                              uint32_t after,
+                              uint32_t holders_after,
                               std::optional<size_t> new_holder,
                               std::optional<size_t> former_holder) {
-  const double all = this->shares[expert] * this->load_per_share;
-  const double part_before = all / std::max(1U, this->holders[expert]);
-  const double part_after = all / std::max(1U, after);
+  const double expert_load = this->shares[expert] * this->load_per_share;
+  const double share_before = expert_load / std::max(1U, this->holders[expert]);
+  const double share_after = expert_load / std::max(1U, holders_after);
   for (const size_t rank : this->ranks_of[expert]) {
     this->AddChange(rank,
-                    (rank == former_holder ? 0 : part_after) - part_before);
+                    (rank == former_holder ? 0 : share_after) - share_before);
   }
   if (new_holder) {
-    this->AddChange(*new_holder, part_after);
+    this->AddChange(*new_holder, share_after);
   }
 }
 
@@ -215,36 +216,37 @@
   return !is_link_full && this->added[rank].size() < this->limits.spare;
 }
 
-std::vector<size_t> CopySearch::SlowestRanks(size_t most) const {
+std::vector<size_t> CopySearch::SlowestRanks(size_t max_count) const {
   std::vector<size_t> ranks(this->loads.size());
   std::iota(ranks.begin(), ranks.end(), 0);
-  this->KeepFirst(ranks, most,
+  this->KeepFirst(ranks, max_count,
                   [](double left, double right) { return left > right; });
   return ranks;
 }
 
-std::vector<size_t> CopySearch::LeastLoadedRanks(size_t most) const {
+std::vector<size_t> CopySearch::LeastLoadedRanks(size_t max_count) const {
   std::vector<size_t> ranks;
   for (size_t rank = 0; rank < this->loads.size(); ++rank) {
     if (this->is_accepting_copies(rank)) {
       ranks.push_back(rank);
     }
   }
-  this->KeepFirst(ranks, most, std::less<>());
+  this->KeepFirst(ranks, max_count, std::less<>());
   return ranks;
 }
 
 template <typename Before>
 void CopySearch::KeepFirst(std::vector<size_t>& ranks,
-                           size_t most,
+                           size_t max_count,
                            Before before) const {
-  most = std::min(most, ranks.size());
-  std::partial_sort(ranks.begin(), ranks.begin() + static_cast<int64_t>(most),
+  max_count = std::min(max_count, ranks.size());
+  std::partial_sort(ranks.begin(),
+                    ranks.begin() + static_cast<int64_t>(max_count),
                     ranks.end(), [this, before](size_t left, size_t right) {
                       return before(this->TimeOf(left, this->loads[left]),
                                     this->TimeOf(right, this->loads[right]));
                     });
-  ranks.resize(most);
+  ranks.resize(max_count);
 }
 
 std::optional<CopyStep> CopySearch::FindReliefStep(
--- a/Libraries/LibPlacement/CopySearch.h
+++ b/Libraries/LibPlacement/CopySearch.h
@@ -1,5 +1,5 @@
-// The search behind PlanCopies: one set's placement, changed step by step where
-// it helps the most loaded ranks most.
+// The greedy search of PlanCopies: changes the placement of one set step by
+// step, each step where it relieves the slowest ranks most.
 #pragma once
 
 #include <cstdint>
@@ -12,19 +12,21 @@
 
 std::vector<uint32_t> CountHolders(const RankLists& lists, size_t experts);
 
-// The load of each rank; the parts of an expert's holders are equal.
+// Returns the load of each rank. The load of an expert is split evenly over its
+// holders.
 std::vector<double> LoadsOf(const RankLists& lists,
                             const Shares& shares,
                             const std::vector<uint32_t>& holders);
 
 double PaceOf(const std::vector<double>& paces, size_t rank);
 
-// One change: a copy that comes to a rank, and one that leaves it.
+// Adds a copy of `expert` to `rank`. `dropped` is the expert that a full rank
+// drops for it.
 struct CopyStep {
   uint16_t expert = 0;
   size_t rank = 0;
   std::optional<uint16_t> dropped;
-  // The rank that gives the expert up altogether; another one keeps it.
+  // The rank that drops its own copy of `expert`, if the step moves the copy.
   std::optional<size_t> moved_from;
   double gain = 0;
 };
@@ -39,10 +41,11 @@
              const CopyLimits& limits,
              const std::vector<uint32_t>& new_elsewhere);
 
-  // The time of the slowest rank over the mean of the loads.
+  // Returns the time of the slowest rank over the mean load, at least 1.
   double skew() const;
 
-  // The best step for the slowest rank that has one.
+  // Returns the step with the most gain for the slowest rank that has one; none
+  // if no step has a gain.
   std::optional<CopyStep> FindBestStep();
 
   void Apply(const CopyStep& step);
@@ -57,47 +60,55 @@
 
   void AddChange(size_t rank, double delta);
 
-  // Takes the expert's part from its holders, and gives the new part to those
-  // that hold it after the step.
+  // Records in `changes` how the load of `expert` moves when it has
+  // `holders_after` holders: every holder's share changes, `new_holder` gains
+  // one and `former_holder` loses its own.
   void Redistribute(uint16_t expert,
-                    uint32_t after,
+                    uint32_t holders_after,
                     std::optional<size_t> new_holder,
                     std::optional<size_t> former_holder);
 
-  // Finds what the step changes; only the ranks that hold its experts do.
+  // Fills `changes` with the load changes of the step. Only the loads of ranks
+  // that hold its experts change.
   void FindChanges(const CopyStep& step);
 
-  // How much lower the weights are after a step that brings a rank a copy
-  // behind `queued` others.
+  // Returns how much the step lowers the sum of the load penalties. `queued` is
+  // the number of copies that use the receiving rank's link before this one.
   double GainOf(const CopyStep& step, size_t queued);
 
   double DemandOf(uint16_t expert) const;
 
-  // Whether the set has it; what a rank says of itself may be wrong.
+  // Returns whether the set has the expert. A list that a rank reports may name
+  // an expert that does not exist.
   bool is_in_set(uint16_t expert) const;
 
-  // The copy that a full rank gives up; none if it cannot.
+  // Returns the expert that a full rank drops: the one with the least demand
+  // per copy; none if it has only last copies and copies of this plan.
   std::optional<uint16_t> FindDrop(size_t rank) const;
 
   std::optional<CopyStep> TryCopy(uint16_t expert,
                                   size_t rank,
                                   std::optional<size_t> moved_from);
 
-  // Copies that the rank's link carries already, or will.
+  // Returns the number of copies planned for the rank, in this set and the
+  // others.
   size_t QueuedAt(size_t rank) const;
 
   bool is_accepting_copies(size_t rank) const;
 
-  // The slowest ranks, the slowest first.
-  std::vector<size_t> SlowestRanks(size_t most) const;
+  // Returns up to `max_count` ranks, the slowest first.
+  std::vector<size_t> SlowestRanks(size_t max_count) const;
 
-  // The idlest ranks that take copies.
-  std::vector<size_t> LeastLoadedRanks(size_t most) const;
+  // Returns up to `max_count` ranks that accept copies, the least loaded first.
+  std::vector<size_t> LeastLoadedRanks(size_t max_count) const;
 
   template <typename Before>
-  void KeepFirst(std::vector<size_t>& ranks, size_t most, Before before) const;
+  void KeepFirst(std::vector<size_t>& ranks,
+                 size_t max_count,
+                 Before before) const;
 
-  // Only a copy of what a rank holds lowers its load.
+  // Returns the best copy or move of an expert from the `slow` rank to a
+  // receiver. Only an expert that the slow rank holds can lower its load.
   std::optional<CopyStep> FindReliefStep(size_t slow,
                                          const std::vector<size_t>& receivers);
 
@@ -110,11 +121,11 @@
   RankLists lists;
   std::vector<uint32_t> holders;
   std::vector<std::vector<uint16_t>> added;
-  // The ranks that hold each expert, and the loads, 1 being the mean; they
-  // follow `lists`.
+  // The ranks that hold each expert, and the load of each rank relative to the
+  // mean. Both are updated together with `lists`.
   std::vector<std::vector<size_t>> ranks_of;
   std::vector<double> loads;
-  // What turns a share into a load.
+  // The load of a rank that carries a share of 1, relative to the mean load.
   double load_per_share = 0;
   std::vector<LoadChange> changes;
 };
--- a/Libraries/LibPlacement/DemandTracker.h
+++ b/Libraries/LibPlacement/DemandTracker.h
@@ -1,6 +1,6 @@
-// What is in demand now: a mixture that jumps. Counts are averaged as long as
-// they agree; when they no longer do, what was seen before is remembered as a
-// pattern and the average begins anew.
+// Tracks how demand is distributed over experts. Samples that agree are
+// averaged. A sample that differs is a demand shift: the former average is
+// remembered as a pattern and the average restarts from the sample.
 #pragma once
 
 #include <cstdint>
@@ -12,19 +12,20 @@
 namespace bramleyspan::placement {
 
 struct DemandTrackerSettings {
-  // A sample that differs by more than this part of its weight (total
-  // variation, mean of the sets) begins a new pattern.
+  // A sample whose distance from the average exceeds this is a demand shift
+  // (total variation distance, mean of the sets).
   double shift_threshold = 0.2;
-  // The weight of a new sample that agrees.
+  // The weight of a new sample in the average.
   double sample_weight = 0.2;
-  // Patterns that differ by less are one.
+  // Remembered patterns closer than this replace one another.
   double same_threshold = 0.15;
   size_t max_patterns = 16;
-  // A sample of fewer choices a set says too little.
+  // Choices that the first set needs before a sample is complete; fewer are too
+  // noisy.
   double min_choices = 300;
 };
 
-// Shares by set.
+// The share of each expert, by set.
 using Pattern = std::vector<Shares>;
 
 struct DemandTracker {
@@ -32,19 +33,20 @@
   Pattern present;
   std::vector<Pattern> remembered;
   uint64_t shifts = 0;
-  // Choices that do not make up a sample yet, by set and expert.
+  // Choices that are not enough for a sample yet, by set and expert.
   std::vector<std::vector<double>> pending;
 };
 
-// Takes choices of experts, set by set. Returns whether what is in demand has
-// jumped.
+// Adds expert choices, by set and expert. Returns true if they complete the
+// first sample or show a demand shift.
 bool ObserveChoices(DemandTracker& tracker,
                     const std::vector<std::vector<double>>& choices);
 
-// For each expert of a set the largest share in any remembered pattern.
+// Returns for each expert of a set its largest share in any remembered pattern.
 Shares RememberedShares(const DemandTracker& tracker, size_t set);
 
-// The part of the weight by which two patterns differ, mean of their sets.
+// Returns the total variation distance of two patterns, mean of their sets: 0
+// if they are equal, 1 if they have nothing in common or differ in shape.
 double Distance(const Pattern& left, const Pattern& right);
 
 }  // namespace bramleyspan::placement
--- a/Libraries/LibPlacement/Improve.cc
+++ b/Libraries/LibPlacement/Improve.cc
@@ -7,10 +7,10 @@
 
 namespace {
 
-// Ranks that are tried as the destination of a copy, the idlest first.
+// Ranks tried as the destination of a copy, the least loaded first.
 constexpr size_t kDestinationsTried = 6;
-// A search ends when its best change lowers the potential by less than this
-// part: such a change cannot be felt in a step.
+// The search ends when its best change lowers the potential by less than this
+// fraction; such a change has no visible effect on step time.
 constexpr double kMinReduction = 0.002;
 
 struct Search {
@@ -28,8 +28,8 @@
   double score = 0;
 };
 
-// The sum of the eighth powers: dominated by the slowest rank, yet lowered too
-// when one of several equally slow ranks improves.
+// Returns the sum of the eighth powers of the loads. The slowest rank dominates
+// it, yet it also falls when one of several equally slow ranks improves.
 double Potential(const std::vector<double>& loads) {
   double sum = 0;
   for (const double load : loads) {
@@ -68,7 +68,8 @@
   return ranks;
 }
 
-// Adds `factor` times the load of each copy of an expert to its ranks.
+// Adds `factor` times the load of each copy of an expert to the ranks that hold
+// it.
 void AddLoadOf(Search& search, Expert expert, double factor) {
   const auto& ranks = search.layer.ranks_of[expert];
   const double load = factor * search.shares[expert] * search.shape.ranks /
@@ -117,28 +118,29 @@
   }
 }
 
-// Tries to bring `expert` from the slowest rank onto another: as a further
-// copy, as a move, and in place of a spare copy that stands there.
+// Tries to load `expert` from the slowest rank onto another rank: as an
+// additional copy, as a move, in place of a spare copy held there, and as a
+// swap with an expert that has no other copy.
 void ConsiderDestination(Search& search,
                          Candidate& best,
                          Expert expert,
                          Rank from,
                          Rank to) {
   const Copy load{expert, to};
-  const Copy left{expert, from};
+  const Copy source{expert, from};
   if (has_free_slot(search, to)) {
     Consider(search, best, {.loads = {load}, .drops = {}});
-    Consider(search, best, {.loads = {load}, .drops = {left}});
+    Consider(search, best, {.loads = {load}, .drops = {source}});
   }
   const std::vector<Expert> others = search.experts_on[to];
   for (const Expert other : others) {
     const Copy displaced{other, to};
     if (is_spare(search, other)) {
       Consider(search, best, {.loads = {load}, .drops = {displaced}});
-      Consider(search, best, {.loads = {load}, .drops = {left, displaced}});
+      Consider(search, best, {.loads = {load}, .drops = {source, displaced}});
     } else if (!is_on(search, other, from) && has_staging_room(search, from)) {
       Consider(search, best,
-               {.loads = {load, {other, from}}, .drops = {left, displaced}});
+               {.loads = {load, {other, from}}, .drops = {source, displaced}});
     }
   }
 }
@@ -180,7 +182,8 @@
   for (const Copy& load : change.loads) {
     price += limits.recent.contains(load) ? limits.undo_price : 1;
   }
-  // Dropping costs no bytes, but what came lately was paid for and is lost.
+  // Dropping a copy transfers no bytes, but a recent copy was paid for and is
+  // lost.
   for (const Copy& drop : change.drops) {
     price += limits.recent.contains(drop) ? limits.undo_price : 0;
   }
--- a/Libraries/LibPlacement/Improve.h
+++ b/Libraries/LibPlacement/Improve.h
@@ -1,4 +1,5 @@
-// Improves a layer's placement by few changes, each at the slowest rank.
+// Improves the placement of one layer by a few changes, each of which relieves
+// the slowest rank.
 #pragma once
 
 #include <optional>
@@ -10,35 +11,36 @@
 
 namespace bramleyspan::placement {
 
-// A copy by its expert and rank.
+// A copy of an expert, named by expert and rank.
 using Copy = std::pair<Expert, Rank>;
 
-// One change: copies that come and copies that go with them.
+// One change of a placement: the copies that it loads and those that it drops.
 struct Change {
   std::vector<Copy> loads;
   std::vector<Copy> drops;
 };
 
-// What a search may do.
+// Limits of one search.
 struct SearchLimits {
   size_t max_loads = 16;
-  // Room beside the old weights: loads on one rank before the map switches.
+  // Copies that a rank can load beside its old weights before the map switches.
   uint32_t staging_slots = 2;
-  // Copies that came or went lately; a change that undoes one is rated as if
-  // it loaded `undo_price` times as much.
+  // Copies that were loaded or dropped recently. A change that undoes one costs
+  // `undo_price` loads for it.
   std::set<Copy> recent;
   double undo_price = 4;
 };
 
-// What a change counts as, in loads, with recent copies at their price.
+// Returns the price of a change in loads, with undone recent copies at
+// `undo_price`.
 double PriceInLoads(const Change& change, const SearchLimits& limits);
 
-// Makes a change. A change from ImproveLayer keeps at least one copy of each
-// expert and no more copies on a rank than slots.
+// Applies a change to a layer. A change from ImproveLayer keeps at least one
+// copy of each expert and no more copies on a rank than it has slots.
 void Apply(LayerPlacement& layer, const Change& change);
 
-// The changes that even out the rank loads best for their price, in the order
-// in which they must be made; any prefix of them is a valid plan.
+// Returns the changes that even out the rank loads best for their price, in the
+// order in which they must be applied. Any prefix of them is a valid plan.
 std::vector<Change> ImproveLayer(LayerPlacement layer,
                                  const Shares& shares,
                                  const Shape& shape,
--- a/Libraries/LibPlacement/PassChoices.cc
+++ b/Libraries/LibPlacement/PassChoices.cc
@@ -8,10 +8,11 @@
 
 namespace {
 
-// Agents read their ranks every 30 ms, and datagrams take a millisecond.
+// Agents poll their ranks every 30 ms, and datagrams take about 1 ms.
 constexpr Duration kMaxPassAge = std::chrono::milliseconds(45);
 
-// Ranks that tell of one pass, more or less: enough for what is in demand.
+// The approximate number of ranks that report each pass; enough to estimate
+// demand.
 constexpr uint32_t kReportersPerPass = 8;
 
 uint32_t CountReporters(uint32_t ranks, uint64_t step) {
@@ -103,7 +104,8 @@
     return std::nullopt;
   }
   AddCounts(pass, chosen);
-  // One pass at a time: of two that are due the newer says more.
+  // At most one pass is returned. If both are due, the newer one is more
+  // useful.
   const uint32_t reporters = shape.reporters != 0
                                  ? shape.reporters
                                  : CountReporters(shape.ranks, pass.step);
--- a/Libraries/LibPlacement/PassChoices.h
+++ b/Libraries/LibPlacement/PassChoices.h
@@ -1,11 +1,12 @@
-// Puts together what the ranks of a group chose in one pass. A rank counts the
-// choices of a pass as the pass begins, so that the first pass after demand has
-// jumped shows all of the jump, if passes are kept apart.
+// Adds up how often each expert was chosen by the ranks of a group in one pass.
+// A rank counts the choices of a pass as the pass begins, so the first pass
+// after a demand shift shows the whole shift, provided that passes are kept
+// apart.
 //
-// Failure: samples cut by the clock held parts of passes before and after a
-// jump. It showed as a switch planned for a mixture that never was, replaced a
-// tenth of a second later, whose copies kept the links from the right ones: the
-// right map came 0.7 s after the jump in place of 0.4 s.
+// Samples cut by time instead of by pass mix the demand before and after a
+// shift. The map planned for the mixture was replaced 0.1 s later, but its
+// copies still occupied the links, and the correct map took effect 0.7 s after
+// the shift instead of 0.4 s.
 #pragma once
 
 #include <cstdint>
@@ -18,16 +19,16 @@
 
 namespace bramleyspan::placement {
 
-// How often each expert was chosen, by set.
+// How often each expert was chosen, by set and expert.
 using Choices = std::vector<std::vector<double>>;
 
-// Whether it is a rank's turn to tell what it chose in a pass. All ranks see
-// the same demand, and counts of 32 ranks in every pass would fill the owner's
-// link.
+// Returns whether a rank reports its choices in a pass. All ranks see the same
+// demand, so a rotating subset is enough; the counts of 32 ranks in every pass
+// would fill the link of the map's owner.
 bool is_reporter(uint32_t rank, uint32_t ranks, uint64_t step);
 
-// Counts as small numbers of a unit: a byte each. What is lost is less than
-// 1/255 of the most chosen expert.
+// Expert counts in one byte each, as multiples of `unit`. The rounding error is
+// below 1/255 of the largest count.
 struct PackedCounts {
   std::vector<uint8_t> counts;
   float unit = 1;
@@ -42,37 +43,39 @@
   Choices sums;
   std::set<uint32_t> ranks;
   TimePoint started_at;
-  // Whether this pass was given out; what comes late of it is dropped.
+  // Whether the sums of this pass were returned already; later reports for it
+  // are dropped.
   bool is_emitted = true;
 };
 
-// What one rank chose up to the beginning of a pass.
+// The choices of one rank up to the beginning of a pass.
 struct RankChoices {
   uint32_t rank = 0;
   uint64_t epoch = 0;
   uint64_t step = 0;
-  // Set by set, expert by expert.
+  // The count of each expert, all sets in a row.
   std::span<const uint32_t> counts;
 };
 
 struct ChoicesShape {
-  // Ranks of the group; those whose turn it is tell.
+  // Ranks of the group.
   uint32_t ranks = 0;
   uint32_t sets = 0;
   uint32_t experts = 0;
-  // How many tell of each pass, if not those that `is_reporter` names.
+  // The number of ranks that report each pass; 0 for those selected by
+  // `is_reporter`.
   uint32_t reporters = 0;
 };
 
-// Takes what a rank chose. Returns the choices of a pass that is whole, or of
-// one that a newer pass has overtaken.
+// Adds the choices of a rank. Returns the sums of the pass if it is complete,
+// or else those of an incomplete pass that this newer one replaces.
 std::optional<Choices> AddChoices(PassChoices& pass,
                                   const RankChoices& chosen,
                                   const ChoicesShape& shape,
                                   TimePoint now);
 
-// Gives out a pass of which a rank has told nothing for too long: its agent may
-// be gone, or its datagram was lost.
+// Returns the sums of an incomplete pass that is overdue: a reporter's agent
+// may have died or its datagram may be lost.
 std::optional<Choices> EmitIfOverdue(PassChoices& pass, TimePoint now);
 
 }  // namespace bramleyspan::placement
--- a/Libraries/LibPlacement/Placement.cc
+++ b/Libraries/LibPlacement/Placement.cc
@@ -10,9 +10,9 @@
 
 namespace {
 
-// Points of the integral over the slowest rank's load.
+// Sample points of the integral over the slowest rank's load.
 constexpr int kIntegrationPoints = 96;
-// How many standard deviations beyond the outermost load it reaches.
+// The integral extends this many standard deviations beyond the highest load.
 constexpr double kIntegrationReach = 5;
 
 double NormalProbabilityBelow(double deviations) {
@@ -119,7 +119,7 @@
   std::vector<double> deviations;
   deviations.reserve(rank_loads.size());
   for (const double load : rank_loads) {
-    // An idle rank keeps a little noise, so that nothing divides by zero.
+    // An idle rank keeps a small variance to avoid a division by zero.
     deviations.push_back(std::sqrt(std::max(load, 1e-6) / tokens_per_rank));
   }
   const auto highest = std::max_element(rank_loads.begin(), rank_loads.end()) -
@@ -127,7 +127,8 @@
   const double reach = kIntegrationReach * deviations[highest];
   const double low = std::max(0.0, rank_loads[highest] - reach);
   const double width = (rank_loads[highest] + reach - low) / kIntegrationPoints;
-  // E[max] = low + the integral of P(max > x) from low on, by midpoints.
+  // E[max] = low + the integral of P(max > x) from low upwards, by the midpoint
+  // rule.
   double expected = low;
   for (int point = 0; point < kIntegrationPoints; ++point) {
     const double x = low + (point + 0.5) * width;
@@ -162,7 +163,8 @@
         }
       }
       if (best == shape.ranks) {
-        // Only ranks that hold the expert already have room: one copy fewer.
+        // Only ranks that already hold the expert have a free slot: it gets
+        // fewer copies.
         break;
       }
       holders.push_back(best);
--- a/Libraries/LibPlacement/Placement.h
+++ b/Libraries/LibPlacement/Placement.h
@@ -1,4 +1,4 @@
-// Which ranks hold a copy of which expert, and how evenly that spreads a load.
+// Placement of expert copies on ranks, and how evenly it spreads a load.
 #pragma once
 
 #include <cstdint>
@@ -8,18 +8,18 @@
 
 namespace bramleyspan::placement {
 
-// An expert's number within its layer, and a rank's within its group.
+// The index of an expert in its layer, and of a rank in its group.
 using Expert = uint32_t;
 using Rank = uint32_t;
 
-// The room that a group has for experts, the same in every layer.
+// The capacity of a group for expert copies, the same in every layer.
 struct Shape {
   uint32_t ranks = 0;
   uint32_t slots_per_rank = 0;
 };
 
-// The ranks that hold a copy, by expert. An expert's tokens are split evenly
-// over its copies.
+// The ranks that hold a copy of each expert, by expert. The tokens of an expert
+// are split evenly over its copies.
 struct LayerPlacement {
   std::vector<std::vector<Rank>> ranks_of;
 
@@ -32,7 +32,7 @@
   bool operator==(const Placement&) const = default;
 };
 
-// A copy that a rank has to fetch from the weight store.
+// A copy that a rank must fetch from the weight store.
 struct ExpertLoad {
   uint32_t layer = 0;
   Expert expert = 0;
@@ -42,32 +42,35 @@
   bool operator==(const ExpertLoad&) const = default;
 };
 
-// Each expert's part of a layer's tokens; the parts sum to 1.
+// The fraction of a layer's tokens routed to each expert; the sum is 1.
 using Shares = std::vector<double>;
 
-// Checks that every expert has a copy, none two on one rank, and that no rank
-// holds more than its slots. Fails with kMalformedDocument or kLimitExceeded.
+// Checks that every expert has a copy, that no rank holds two copies of an
+// expert, and that no rank holds more copies than it has slots. Fails with
+// kMalformedDocument or kLimitExceeded.
 Result<void> Check(const Placement& placement, const Shape& shape);
 
-// The copies of `next` that `current` lacks, as loads of `expert_bytes` each.
+// Returns the copies of `next` that `current` lacks, as loads of `expert_bytes`
+// bytes each.
 std::vector<ExpertLoad> LoadsBetween(const Placement& current,
                                      const Placement& next,
                                      uint64_t expert_bytes);
 
-// The load of each rank over the mean load.
+// Returns the load of each rank relative to the mean load.
 std::vector<double> RankLoads(const LayerPlacement& layer,
                               const Shares& shares,
                               uint32_t ranks);
 
-// The expected load of the slowest rank over the mean when a step routes
-// `tokens_per_step` tokens at random by the expected `rank_loads`. Even loads
-// give the noise floor, which no placement can beat.
+// Returns the expected load of the slowest rank relative to the mean when a
+// step routes `tokens_per_step` tokens at random with the expected
+// `rank_loads`. Even loads give the noise floor, which no placement can go
+// below.
 double ExpectedSkew(const std::vector<double>& rank_loads,
                     double tokens_per_step);
 
-// Packs a layer from nothing: the hottest experts get the spare slots, then
-// the heaviest copies go first to the rank with the least load. The shape must
-// hold at least one copy of each expert.
+// Returns a new placement of a layer: the experts with the highest load per
+// copy get the spare slots, then the heaviest copies are placed first, each on
+// the least loaded rank. The shape must hold at least one copy of each expert.
 LayerPlacement PackLayer(const Shares& shares, const Shape& shape);
 
 }  // namespace bramleyspan::placement
--- a/Libraries/LibPlacement/Popularity.h
+++ b/Libraries/LibPlacement/Popularity.h
@@ -1,4 +1,4 @@
-// How popular each expert is: tokens routed to it, older ones counting less.
+// Expert popularity: the tokens routed to each expert, decayed over time.
 #pragma once
 
 #include <cstdint>
@@ -9,28 +9,29 @@
 
 namespace bramleyspan::placement {
 
-// The decayed token counts of one layer.
+// Decayed token counts of one layer.
 struct Popularity {
   std::vector<double> tokens;
   double total = 0;
-  // The sum of squared weights: with `total` it tells how many tokens the
-  // estimate is worth.
+  // The sum of squared token weights; with `total` it gives the effective
+  // sample size.
   double squared_total = 0;
   TimePoint updated;
 };
 
-// Adds a step's routed tokens by expert. A count loses half of its weight in
-// each `half_life`. An observation older than the last one is dropped: reports
-// come late and out of order.
+// Adds the routed tokens of one step, by expert. Counts halve every
+// `half_life`. An observation older than the last one is dropped, since reports
+// arrive late and out of order.
 void ObserveStep(Popularity& popularity,
                  const std::vector<uint32_t>& routed_tokens,
                  Duration half_life,
                  TimePoint now);
 
-// The estimated shares; even ones as long as nothing was observed.
+// Returns the estimated shares; equal ones until something is observed.
 Shares EstimateShares(const Popularity& popularity);
 
-// How many tokens drawn afresh would give as sure an estimate.
+// Returns the effective sample size: the number of equally weighted tokens that
+// would give an estimate of the same variance.
 double EffectiveTokens(const Popularity& popularity);
 
 }  // namespace bramleyspan::placement
--- a/Libraries/LibPlacement/Rebalancer.cc
+++ b/Libraries/LibPlacement/Rebalancer.cc
@@ -12,11 +12,10 @@
 
 constexpr Duration kBudgetWindow = std::chrono::hours(1);
 constexpr double kBytesPerGigabyte = 1e9;
-// Below this weight a second of skew buys nothing; it also keeps the price
-// finite.
+// The smallest skew weight used; keeps the cost of a load finite.
 constexpr double kMinWeight = 1e-6;
 
-// The changes of one layer that are worth their price.
+// The profitable changes of one layer.
 struct LayerPlan {
   uint32_t layer = 0;
   std::vector<Change> changes;
@@ -29,16 +28,18 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-// What a load costs, in seconds of skew. The catalogue weighs a second of skew
-// against a gigabyte, so the exchange rate is the quotient of the weights.
+// Returns the cost of one load in seconds of step time. The catalogue weighs a
+// second of skew against a gigabyte, so the exchange rate is the quotient of
+// the weights.
 double CostOfLoad(const RebalanceSettings& settings) {
   const double weight = std::max(settings.skew_weight, kMinWeight);
   return static_cast<double>(settings.expert_bytes) / kBytesPerGigabyte *
          settings.seconds_per_gigabyte * (1 - weight) / weight;
 }
 
-// How much dearer a load is for the part of the hour's budget that is spent.
-// Without it small gains eat the budget up and a sudden swap finds none left.
+// Returns the factor by which the cost of a load rises as the hourly budget is
+// used up. Without it small gains use up the budget and none is left for a
+// sudden change of popularity.
 double ScarcityFactor(const RebalanceSettings& settings, size_t loads_left) {
   return static_cast<double>(settings.loads_per_hour) /
          static_cast<double>(loads_left);
@@ -48,8 +49,8 @@
   return ToSeconds(settings.horizon) / ToSeconds(settings.step_time);
 }
 
-// The standard deviation of the slowest rank's estimated load over the mean:
-// the sampling of tokens, and the wavering of shares that is no drift.
+// Returns the standard deviation of the slowest rank's estimated load relative
+// to the mean. It combines token sampling and load noise that is not drift.
 double DeviationOfEstimate(const RebalanceSettings& settings,
                            double slowest,
                            double effective_tokens) {
@@ -73,7 +74,7 @@
   return limits;
 }
 
-// The prefix of the best changes of a layer with the largest net value.
+// Returns the prefix of the layer's best changes with the largest net gain.
 LayerPlan PlanLayer(const Rebalancer& rebalancer,
                     uint32_t layer,
                     size_t loads_left) {
@@ -111,7 +112,8 @@
     const double gain = saved * seconds_per_skew;
     const double cost =
         price * CostOfLoad(settings) * ScarcityFactor(settings, loads_left);
-    // A gain within the noise of the estimate would be chased back and forth.
+    // Acting on a gain within the noise of the estimate would move copies back
+    // and forth.
     const bool is_significant = saved > min_gain;
     const bool is_profitable = gain > settings.hysteresis * cost;
     if (is_significant && is_profitable &&
@@ -145,7 +147,8 @@
   return budget - std::min(budget, spent);
 }
 
-// Joins layer plans, the best value for a load first, within `loads_left`.
+// Combines layer plans into one, in descending order of gain per load, within
+// `loads_left`.
 Plan JoinLayerPlans(const Rebalancer& rebalancer,
                     std::vector<LayerPlan> layers,
                     size_t loads_left) {
--- a/Libraries/LibPlacement/Rebalancer.h
+++ b/Libraries/LibPlacement/Rebalancer.h
@@ -1,5 +1,6 @@
-// Decides when a group's experts move: the step time that a plan is expected
-// to save against what its loads cost, weighted by the catalogue.
+// Decides when to change a group's expert placement: weighs the step time that
+// a plan is expected to save against the cost of its loads, by the catalogue's
+// skew weight.
 #pragma once
 
 #include <cstdint>
@@ -13,42 +14,44 @@
 
 namespace bramleyspan::placement {
 
-// What a group is and how much a move may cost it.
+// Properties of a group and limits on its placement changes.
 struct RebalanceSettings {
   Shape shape;
   uint64_t expert_bytes = 0;
-  // Of the catalogue's group: 0 never moves, 1 counts only step time.
+  // The catalogue's weight of skew against bytes: 0 never changes the
+  // placement, 1 ignores the cost of loads.
   double skew_weight = 0.5;
-  // The time that one layer's experts take in a step whose ranks are even.
+  // The time of one layer's experts in a step with evenly loaded ranks.
   Duration balanced_layer_time = std::chrono::microseconds(400);
-  // The time from a step to the next.
+  // The interval between steps.
   Duration step_time = std::chrono::milliseconds(50);
-  // Tokens that a step routes in a layer, each choice of an expert counted.
+  // Tokens that a step routes in a layer; each choice of an expert counts once.
   double tokens_per_step = 0;
-  // How long a plan is expected to pay.
+  // The time over which a plan's gain is counted.
   Duration horizon = std::chrono::minutes(15);
-  // After this time without observations a popularity counts half.
+  // The half-life of the popularity counts.
   Duration half_life = std::chrono::minutes(2);
-  // Seconds of skew that a gigabyte is worth at a skew_weight of one half.
+  // Seconds of step time that loading one gigabyte costs at a skew_weight of
+  // 0.5.
   double seconds_per_gigabyte = 1;
   // The time for which a switch of the map stalls the group.
   Duration switch_stall = std::chrono::milliseconds(100);
-  // A plan must gain this many times its cost.
+  // A plan's gain must exceed its cost by this factor.
   double hysteresis = 1.5;
-  // The part by which the estimated load of a rank wavers although popularity
-  // does not drift: requests of one moment share topics.
+  // The relative standard deviation of a rank's load without any drift of
+  // popularity: concurrent requests share topics.
   double share_noise = 0.04;
-  // A gain counts only beyond this many standard deviations of the estimate.
+  // The saved skew must exceed this many standard deviations of the estimate.
   double min_deviations = 2;
-  // Loads that a group may start in any hour.
+  // Loads that a group may start within an hour.
   size_t loads_per_hour = 64;
-  // Changes younger than this are not undone at their plain price.
+  // Undoing a change younger than this costs `undo_price` loads per copy.
   Duration settle_time = std::chrono::hours(1);
   double undo_price = 4;
   uint32_t staging_slots = 2;
 };
 
-// A copy that came or went, and when.
+// A copy that was loaded or dropped, and when.
 struct RecentChange {
   uint32_t layer = 0;
   Copy copy;
@@ -56,25 +59,26 @@
   bool is_load = false;
 };
 
-// A placement to switch to, with the loads that must come before it.
+// A placement to switch to, with the loads that must complete before the
+// switch.
 struct Plan {
   Placement placement;
   std::vector<ExpertLoad> loads;
-  // Expected time saved over the horizon, in seconds of step time.
+  // The step time expected to be saved over the horizon.
   std::chrono::duration<double> gain{};
-  // The price of the loads and of the switch, in the same unit.
+  // The cost of the loads and of the switch, in the same unit.
   std::chrono::duration<double> cost{};
 };
 
 // Why a proposal has no plan.
 enum class HoldReason {
   kNone,
-  // A plan is being loaded; a second one would race it.
+  // A plan is being loaded; a second one would race with it.
   kPlanUnderway,
   kNothingObserved,
-  // No change helps beyond the noise of the estimate and the cost.
+  // No change has a gain above its cost and the noise of the estimate.
   kGainTooSmall,
-  // The hour's loads are spent.
+  // The hourly budget of loads is used up.
   kBudgetSpent,
 };
 
@@ -83,7 +87,7 @@
   HoldReason hold = HoldReason::kNone;
 };
 
-// A group's popularity and placement.
+// The rebalancing state of one group.
 struct Rebalancer {
   RebalanceSettings settings;
   Placement in_force;
@@ -92,25 +96,26 @@
   bool is_plan_underway = false;
 };
 
-// Starts with a placement that is in force. Fails if it does not fit.
+// Returns a rebalancer for the placement in force. Fails if the placement does
+// not fit the shape.
 Result<Rebalancer> StartRebalancer(RebalanceSettings settings,
                                    Placement in_force);
 
-// Takes the routed tokens of one layer in one step, by expert.
+// Adds the routed tokens of one layer in one step, by expert.
 void ObserveLayer(Rebalancer& rebalancer,
                   uint32_t layer,
                   const std::vector<uint32_t>& routed_tokens,
                   TimePoint now);
 
-// Proposes a plan if one is worth it. Its loads count against the hour's
-// budget from now on, whatever becomes of the plan: the bytes are read either
-// way. Exactly one of the two functions below must follow a plan.
+// Returns a plan if its gain justifies its cost. Its loads count against the
+// hourly budget even if the plan is abandoned, since the bytes are read either
+// way. Exactly one of the two functions below must be called for each plan.
 Proposal ProposePlan(Rebalancer& rebalancer, TimePoint now);
 
-// The group has switched to the plan's placement.
+// Handles the group's switch to the plan's placement.
 void HandleSwitched(Rebalancer& rebalancer, const Plan& plan, TimePoint now);
 
-// The plan was given up; the placement in force stands.
+// Handles an abandoned plan; the placement in force stays.
 void HandleAbandoned(Rebalancer& rebalancer);
 
 }  // namespace bramleyspan::placement
--- a/Libraries/LibPlacement/StoreBudget.cc
+++ b/Libraries/LibPlacement/StoreBudget.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-// A group that has not asked for this long is not waited for.
+// A demand without a request for this long is dropped.
 constexpr Duration kDemandLifetime = std::chrono::seconds(30);
 constexpr uint64_t kMicrosecondsPerSecond = 1'000'000;
 
@@ -19,7 +19,7 @@
   const Duration elapsed = std::max(now - budget.updated, Duration{});
   const uint64_t seconds_to_fill =
       budget.burst_bytes / std::max<uint64_t>(budget.bytes_per_second, 1);
-  // Beyond the time that fills the budget the product could overflow.
+  // Above the time that fills the bucket the product below could overflow.
   const bool is_full = elapsed > std::chrono::seconds(seconds_to_fill + 1);
   const uint64_t added = is_full ? budget.burst_bytes
                                  : budget.bytes_per_second *
@@ -35,8 +35,8 @@
          std::min(demand.requested_bytes, demand.granted_bytes);
 }
 
-// Hands out what is saved in even parts, again and again as long as a group
-// that wanted less than its part left some over.
+// Grants the available bytes in equal shares. Repeats while groups that needed
+// less than their share leave some over.
 void GrantEvenly(StoreBudget& budget) {
   while (true) {
     std::vector<StoreDemand*> waiting;
@@ -68,8 +68,8 @@
     return now - item.second.last_request > kDemandLifetime;
   });
   Refill(budget, now);
-  // What was earned until now belongs to those who waited for it, so that
-  // asking more often than others brings nothing.
+  // Bytes that accrued before this request belong to the demands that were
+  // waiting, so frequent requests gain nothing.
   GrantEvenly(budget);
   StoreDemand& demand = budget.demands[group];
   if (demand.plan != plan) {
--- a/Libraries/LibPlacement/StoreBudget.h
+++ b/Libraries/LibPlacement/StoreBudget.h
@@ -1,4 +1,5 @@
-// The weight store's rate, shared by all groups: one keeper grants bytes.
+// Token bucket for the read rate of the weight store, shared by all groups. One
+// allocator grants the bytes.
 #pragma once
 
 #include <cstdint>
@@ -9,31 +10,34 @@
 
 namespace bramleyspan::placement {
 
-// What a group has asked for in its current plan and got so far.
+// The bytes that a group requested for its current plan and those granted so
+// far.
 struct StoreDemand {
-  // Names the plan; a new one replaces the group's former demand.
+  // The id of the plan; a request for another plan replaces the demand.
   uint64_t plan = 0;
   uint64_t requested_bytes = 0;
   uint64_t granted_bytes = 0;
-  // When the group asked last; a group that died stops asking.
+  // The time of the group's last request. A group that died stops requesting.
   TimePoint last_request;
 };
 
-// The keeper's state. It starts without a byte to grant, so that a keeper
-// that restarts again and again never grants beyond the rate.
+// The allocator's state. It starts empty, so an allocator that restarts
+// repeatedly never grants more than the rate.
 struct StoreBudget {
   uint64_t bytes_per_second = 0;
-  // What may be granted at once after a quiet time.
+  // The size of the bucket: bytes that may be granted at once after an idle
+  // time.
   uint64_t burst_bytes = 0;
   uint64_t available_bytes = 0;
   TimePoint updated;
   std::map<std::string, StoreDemand> demands;
 };
 
-// A group asks, or asks again: answers the bytes granted in total to this
-// plan, so that a lost answer or a repeated question grants nothing twice.
-// Bytes are shared evenly by the groups that want some, however often each
-// asks; a group that stops asking gives up its demand after half a minute.
+// Handles a request or its repetition: returns the total bytes granted to this
+// plan, so that a lost response or a repeated request grants nothing twice.
+// Bytes are shared evenly among the groups that need some, regardless of how
+// often each requests. The demand of a group that stops requesting expires
+// after 30 s.
 uint64_t RequestBytes(StoreBudget& budget,
                       const std::string& group,
                       uint64_t plan,
--- a/Libraries/LibPlacement/SwitchPlan.cc
+++ b/Libraries/LibPlacement/SwitchPlan.cc
@@ -7,20 +7,21 @@
 
 namespace {
 
-// Copies in a set that one switch brings at least if a rank is slow.
+// Copies per set that a switch allows at least if a rank is slow.
 constexpr uint32_t kMinCopiesPerSetIfSlow = 4;
-// From this pace on a rank counts as slow.
+// A rank whose pace exceeds this counts as slow.
 constexpr double kSlowPace = 1.3;
-// A copy at each rank must lower its set's skew by this much.
+// The skew of a set that one copy at each rank must remove in total.
 constexpr double kMinGainOfCopies = 0.32;
-// A switch must lower the mean skew by this much where passes are long, and by
-// more the shorter they are.
+// The mean skew that a switch must remove where passes are long; shorter passes
+// require more.
 constexpr double kMinGainOfLongPasses = 0.12;
-// A pass of this part of the longest pause is long.
+// A pass is long from this fraction of the longest pause on.
 constexpr double kLongPassFraction = 0.45;
+// The additional skew to remove per unit of that fraction below it.
 constexpr double kGainPerIdleFraction = 6;
 
-// The sets, the most uneven first.
+// Returns the indices of the sets in descending order of skew.
 std::vector<size_t> OrderBySkew(const SetLists& lists,
                                 const DemandTracker& demand,
                                 const std::vector<double>& paces) {
--- a/Libraries/LibPlacement/SwitchPlan.h
+++ b/Libraries/LibPlacement/SwitchPlan.h
@@ -1,5 +1,5 @@
-// One switch of a group's map: which copies it brings, and whether they are
-// worth their price.
+// Plans one switch of a group's map: the copies that it adds, and the gain that
+// justifies it.
 #pragma once
 
 #include <cstdint>
@@ -11,47 +11,50 @@
 
 namespace bramleyspan::placement {
 
-// The experts of each set and rank.
+// The experts of each set, by set and rank.
 using SetLists = std::vector<RankLists>;
 
 struct SwitchLimits {
   uint32_t ranks = 0;
   uint32_t expert_slots_per_rank = 0;
-  // New experts that a rank can take in one set at a time.
+  // Copies that a rank can receive in one set at a time.
   uint32_t spare = 0;
-  // New experts that a rank takes in all sets together.
+  // Copies that a rank receives in all sets together in one switch.
   uint32_t copies_per_rank = 1;
-  // How many times as long as usual each rank takes; empty if none is slow.
+  // The factor by which each rank's work takes longer than usual, by rank;
+  // empty if no rank is slow.
   std::vector<double> paces = {};
 };
 
 struct SwitchPlan {
   SetLists lists;
   uint32_t copies = 0;
-  // The load of the most loaded rank over the mean, mean of the sets.
+  // The skew, mean of the sets, before and after the switch.
   double skew_before = 1;
   double skew_after = 1;
 };
 
-// How many copies a rank may take in one switch where each takes `copy`. They
-// queue on its link, and the map waits for the last.
+// Returns the number of copies that a rank may receive in one switch where each
+// takes `copy`. They queue on the rank's link, and the map cannot switch before
+// the last one has arrived.
 uint32_t CopiesPerRank(Duration copy);
 
-// Plans the copies that one switch brings. Each rank gets as many, so that the
-// last ones come together. They are dealt out to the sets, what is left over to
-// the most uneven. A slow rank is emptied faster.
+// Returns the plan of one switch. Each rank receives the same number of copies,
+// so that the last ones arrive together. The copies are divided evenly among
+// the sets; the remainder goes to the sets with the highest skew. A slow rank
+// loses its experts faster than this: the limit per rank then does not apply.
 SwitchPlan PlanSwitch(const SetLists& lists,
                       const DemandTracker& demand,
                       const SwitchLimits& limits);
 
-// The mean skew of the sets under present demand.
+// Returns the skew under present demand, mean of the sets.
 double MeanSkew(const SetLists& lists,
                 const DemandTracker& demand,
                 const std::vector<double>& paces);
 
-// How much a switch must lower the mean skew where a pass takes `pass`. Copies
-// are paid for, and while no pause comes near the longest one, an uneven map
-// costs nobody anything.
+// Returns how much a switch must lower the mean skew where a pass takes `pass`.
+// Copies have a cost, and an uneven map does no harm to callers while passes
+// stay well below the longest pause.
 double MinGainOfSwitch(Duration pass, Duration longest_pause);
 
 }  // namespace bramleyspan::placement
--- a/Measurements/FakeTarget.h
+++ b/Measurements/FakeTarget.h
@@ -198,7 +198,7 @@
     for (const uint64_t id : effects.start) {
       this->Run(id);
     }
-    for (const admission::GivenUp& given_up : effects.give_up) {
+    for (const admission::Refusal& given_up : effects.refuse) {
       const Caller caller = std::move(this->callers.at(given_up.id));
       this->callers.erase(given_up.id);
       this->requests.erase(given_up.id);
--- a/Services/bramleyspand/Agent/Admission.cc
+++ b/Services/bramleyspand/Agent/Admission.cc
@@ -29,7 +29,7 @@
 }
 
 void Obey(AgentState& state, const admission::Effects& effects) {
-  for (const admission::GivenUp& given_up : effects.give_up) {
+  for (const admission::Refusal& given_up : effects.refuse) {
     state.waiting.erase(given_up.id);
     RefuseUnstarted(state, given_up.id, given_up.retry_after);
   }
--- a/Tests/LibAdmission/SimulatedLoad.cc
+++ b/Tests/LibAdmission/SimulatedLoad.cc
@@ -80,12 +80,12 @@
 
 CallerCounts SimulatedLoad::Sum(size_t from_second, size_t to_second) const {
   CallerCounts sum;
-  for (size_t at = from_second; at < std::min(to_second, this->seconds.size());
+  for (size_t at = from_second; at < std::min(to_second, this->counts.size());
        ++at) {
-    sum.asked += this->seconds[at].asked;
-    sum.in_time += this->seconds[at].in_time;
-    sum.late += this->seconds[at].late;
-    sum.refused += this->seconds[at].refused;
+    sum.requests += this->counts[at].requests;
+    sum.in_time += this->counts[at].in_time;
+    sum.late += this->counts[at].late;
+    sum.refused += this->counts[at].refused;
   }
   return sum;
 }
@@ -144,7 +144,7 @@
     if (stream.unread_tokens > 0) {
       stream.unread_tokens = 0;
       stream.is_late =
-          this->now - stream.caller.asked > this->settings.objective;
+          this->now - stream.caller.requested_at > this->settings.objective;
       continue;
     }
     stream.is_late = stream.is_late || is_long;
@@ -154,8 +154,8 @@
     if (stream.events_left > 0) {
       return false;
     }
-    CallerCounts& second = this->SecondOf(stream.caller);
-    ++(stream.is_late ? second.late : second.in_time);
+    CallerCounts& counts = this->CountsOf(stream.caller);
+    ++(stream.is_late ? counts.late : counts.in_time);
     return true;
   });
 }
@@ -165,8 +165,8 @@
       this->settings.arrivals_per_second *
       std::chrono::duration<double>(kTick).count());
   for (int arrived = count(this->random); arrived > 0; --arrived) {
-    const Caller caller{.asked = this->now, .arrived_at = this->now};
-    ++this->SecondOf(caller).asked;
+    const Caller caller{.requested_at = this->now, .arrived_at = this->now};
+    ++this->CountsOf(caller).requests;
     this->waiting.push_back(caller);
   }
   for (auto at = this->retrying.begin(); at != this->retrying.end();) {
@@ -186,7 +186,8 @@
     }
     return this->is_late(left) && left.is_retry && !right.is_retry;
   });
-  // A few gateways ask at a time, and none again at once after a refusal.
+  // Gateways probe for a few requests at a time and do not repeat at once after
+  // a refusal, so a tick ends its probes after this many failures.
   constexpr int kMaxFailures = 4;
   int failures = 0;
   for (auto at = this->waiting.begin(); at != this->waiting.end();) {
@@ -241,7 +242,7 @@
 
 void SimulatedLoad::HandleTimeout(const Caller& caller) {
   if (caller.is_retry) {
-    ++this->SecondOf(caller).refused;
+    ++this->CountsOf(caller).refused;
     return;
   }
   Caller retry = caller;
@@ -265,15 +266,15 @@
   }
 }
 
-CallerCounts& SimulatedLoad::SecondOf(const Caller& caller) {
+CallerCounts& SimulatedLoad::CountsOf(const Caller& caller) {
   const auto at =
       static_cast<size_t>(std::chrono::duration_cast<std::chrono::seconds>(
-                              caller.asked.time_since_epoch())
+                              caller.requested_at.time_since_epoch())
                               .count());
-  if (this->seconds.size() <= at) {
-    this->seconds.resize(at + 1);
+  if (this->counts.size() <= at) {
+    this->counts.resize(at + 1);
   }
-  return this->seconds[at];
+  return this->counts[at];
 }
 
 }  // namespace bramleyspan::admission
--- a/Tests/LibAdmission/SimulatedLoad.h
+++ b/Tests/LibAdmission/SimulatedLoad.h
@@ -1,7 +1,7 @@
-// A group of ranks in virtual time under load: passes by the engine's published
-// values, demand that jumps, gateways that ask a few ranks for a place, and
-// callers that wait, return once and leave. The places are those of the
-// library; nothing of the wire is modelled.
+// Simulates a group of ranks under load in virtual time: pass durations by the
+// engine's published values, demand shifts, gateways that probe a few ranks for
+// a permit, and callers that wait, retry once and leave. Permits are granted by
+// the library; no messages are modelled.
 #pragma once
 
 #include <cstdint>
@@ -16,28 +16,33 @@
 struct LoadSettings {
   uint32_t ranks = 24;
   uint32_t slots = 10;
+  // Events of a stream.
   uint32_t events = 19;
+  // Steps in a pass that generates tokens.
   double stride = 5;
+  // The duration of a step, and what each stream adds to it.
   double step_ms = 4.55;
   double stream_ms = 0.905;
   double read_tokens_per_ms = 61.4;
   double prompt_tokens = 800;
+  // The fraction of the work that is done by experts.
   double expert_share = 0.85;
   Duration longest_pause = std::chrono::milliseconds(150);
+  // The longest time to the first event of a stream that is not late.
   Duration objective = std::chrono::milliseconds(500);
   double arrivals_per_second = 98;
-  // Zero for demand that never jumps.
+  // The interval between demand shifts; zero for none.
   Duration shift_interval{};
-  // Load of the most loaded rank over the mean, after a jump, once the first
-  // copies are there and once a map that fits is.
+  // The load of the most loaded rank over the mean: after a demand shift, once
+  // the first copies are in place, and once a matching map is.
   double skew_after_shift = 3.3;
   double skew_with_first_copies = 2.1;
   double steady_skew = 1.7;
 };
 
-// What callers got, by the second in which they came.
+// The outcomes of callers by the second of their first request.
 struct CallerCounts {
-  int asked = 0;
+  int requests = 0;
   int in_time = 0;
   int late = 0;
   int refused = 0;
@@ -49,7 +54,8 @@
 
   void Run(Duration time);
 
-  // The group is formed anew; its streams end and their callers return.
+  // Re-forms the group until `opens_at`: its streams end and their callers
+  // retry.
   void ReformUntil(TimePoint opens_at);
 
   CallerCounts Sum(size_t from_second, size_t to_second) const;
@@ -60,7 +66,7 @@
 
  private:
   struct Caller {
-    TimePoint asked;
+    TimePoint requested_at;
     TimePoint arrived_at;
     bool is_retry = false;
   };
@@ -82,14 +88,15 @@
   bool StartStream(const Caller& caller);
   void HandleTimeout(const Caller& caller);
   void Report();
-  CallerCounts& SecondOf(const Caller& caller);
+  CallerCounts& CountsOf(const Caller& caller);
 
   std::mt19937_64 random;
   std::vector<RankAdmission> admissions;
   std::vector<Stream> streams;
   std::list<Caller> waiting;
   std::list<Caller> retrying;
-  std::vector<CallerCounts> seconds;
+  // By the second of the first request.
+  std::vector<CallerCounts> counts;
   uint64_t step = 1;
   uint64_t epoch = 1;
   uint64_t number = 0;
--- a/Tests/LibAdmission/TestAdmission.cc
+++ b/Tests/LibAdmission/TestAdmission.cc
@@ -23,7 +23,7 @@
   return {.id = id, .service_class = service_class, .deadline = now + allowed};
 }
 
-// An agent whose back end runs two requests of 400 ms at once.
+// An agent whose back end runs two requests of 400 ms concurrently.
 Admission MakeAdmission() {
   Admission admission;
   admission.settings.slots = 2;
@@ -43,9 +43,8 @@
   CHECK(effects.start == std::vector<uint64_t>{3});
 }
 
-// A member waits two seconds only to hear that nobody had time for the draft:
-// the queue was longer than the deadline from the start and the agent took the
-// request all the same.
+// The agent admits a request although its queue is longer than the deadline
+// from the start, and the caller is refused only after a wait of 2 s.
 TEST_CASE("a request that cannot be answered in time is refused on arrival") {
   Admission admission = MakeAdmission();
   uint64_t id = 0;
@@ -53,15 +52,15 @@
   do {
     decision = Decide(admission, MakeRequest(++id), kBegin);
   } while (decision.verdict != Verdict::kRefuse && id < 100);
-  // Two run; 200 ms a start let eight wait within 80% of two seconds.
+  // Two run; at one start per 200 ms eight can wait within 80% of 2 s.
   CHECK(id == 11);
   CHECK(decision.retry_after > Duration::zero());
   const Decision next = Decide(admission, MakeRequest(12), kBegin);
   CHECK(next.retry_after > decision.retry_after);
 }
 
-// Timetable summaries of class batch never get their turn on the night before
-// term: interactive requests keep coming and always go first.
+// Interactive requests keep arriving and always go first, so that batch
+// requests never start.
 TEST_CASE("no class starves while more urgent ones keep coming") {
   ClassQueues queues;
   for (uint64_t id = 1; id <= 40; ++id) {
@@ -78,9 +77,9 @@
   CHECK(started[ServiceClass::kBatch] == 10);
 }
 
-// A morning's interactive requests wait behind a burst of batch: batch had not
-// asked for anything all night and had saved up its right to start.
-TEST_CASE("an idle class saves up no right to the next starts") {
+// Batch requests that were idle for hours have accumulated a claim to start,
+// and interactive requests wait behind a burst of them.
+TEST_CASE("an idle class accumulates no claim to the next starts") {
   ClassQueues queues;
   for (uint64_t id = 1; id <= 100; ++id) {
     Push(queues, MakeRequest(id, ServiceClass::kInteractive));
@@ -97,11 +96,11 @@
   CHECK(batch <= 2);
 }
 
-// A caller hears "no" two seconds late: its request waited in the queue of an
-// engine that had frozen and that sent no event which would have told.
+// A frozen engine sends no event, so a request that waits for it is refused
+// only at its deadline.
 TEST_CASE(
-    "what waits for a stalled back end is given up long before the "
-    "deadline") {
+    "a request that waits for a stalled back end is refused long before "
+    "its deadline") {
   Admission admission = MakeAdmission();
   Decide(admission, MakeRequest(1), kBegin);
   Decide(admission, MakeRequest(2), kBegin);
@@ -109,21 +108,21 @@
          kBegin);
   TimePoint now = kBegin;
   Effects effects;
-  while (effects.give_up.empty() && now < kBegin + seconds(4)) {
+  while (effects.refuse.empty() && now < kBegin + seconds(4)) {
     now += kReviewInterval;
     effects = Review(admission, now);
   }
-  REQUIRE(effects.give_up.size() == 1);
-  CHECK(effects.give_up.front().id == 3);
+  REQUIRE(effects.refuse.size() == 1);
+  CHECK(effects.refuse.front().id == 3);
   CHECK(now - kBegin < milliseconds(2500));
   CHECK(Decide(admission,
                MakeRequest(4, ServiceClass::kInteractive, seconds(2), now), now)
             .verdict == Verdict::kRefuse);
 }
 
-// Drafts crawl on one target for minutes although its agent promises the old
-// pace: the mean over ended requests knows nothing of those that do not end.
-TEST_CASE("an engine that starts to limp shows before its requests end") {
+// A mean over ended requests ignores those that do not end, so an engine that
+// slows down keeps its good estimate for minutes.
+TEST_CASE("the estimate shows a slower engine before its requests end") {
   Admission admission = MakeAdmission();
   admission.settings.slots = 4;
   for (uint64_t id = 1; id <= 4; ++id) {
@@ -137,9 +136,10 @@
   CHECK(after.first_token > 4 * before.first_token);
 }
 
-// Batch requests are told "no" after most of their deadline: the queue alone
-// promised them a place that interactive requests took as they came.
-TEST_CASE("an estimate counts what more urgent classes will take") {
+// An estimate from the queue alone promises batch requests starts that later
+// interactive requests take; they are then refused after most of their
+// deadline.
+TEST_CASE("an estimate includes the expected arrivals of more urgent classes") {
   ClassQueues quiet;
   ClassQueues busy;
   for (int i = 0; i < 20; ++i) {
@@ -153,11 +153,9 @@
   CHECK(busy_wait > 3 * quiet_wait);
 }
 
-// A member's long contract is refused at once by a fleet that has nothing to
-// do: the fixed cost of a dozen short prompts was taken for a cost per token,
-// and a prompt a thousand times longer for one that takes a thousand times as
-// long.
-TEST_CASE("short prompts say nothing of the time that long ones take") {
+// The fixed cost of a dozen short prompts is taken for a cost per token, and a
+// prompt a thousand times longer is refused by an idle back end.
+TEST_CASE("prompts of one length imply no cost per token") {
   Admission admission = MakeAdmission();
   TimePoint now = kBegin;
   for (uint64_t id = 1; id <= 12; ++id) {
@@ -175,7 +173,7 @@
   CHECK(Decide(admission, long_request, now).verdict == Verdict::kStart);
 }
 
-TEST_CASE("a cost per token that was seen is counted") {
+TEST_CASE("the cost per token is estimated from prompts of different lengths") {
   PrefillModel model;
   for (uint32_t tokens = 100; tokens <= 2000; tokens += 100) {
     AddSample(model, tokens, milliseconds(20 + tokens / 10));
@@ -195,7 +193,7 @@
   CHECK(HandleEnd(admission, 1, true, kBegin).start.empty());
 }
 
-TEST_CASE("the prefix memory forgets what was not used for longest") {
+TEST_CASE("the least recently used prefix is removed") {
   RecentPrefixes prefixes{.capacity = 2};
   RecordPrefix(prefixes, 1, 10);
   RecordPrefix(prefixes, 2, 20);
@@ -206,8 +204,9 @@
   CHECK(CachedTokens(prefixes, 3) == 30);
 }
 
-TEST_CASE("property: every request gets one fate and slots are kept") {
-  tests::CheckProperty("one fate", [](const std::vector<uint8_t>& choices) {
+TEST_CASE(
+    "property: every request has one outcome and slots are not exceeded") {
+  tests::CheckProperty("one outcome", [](const std::vector<uint8_t>& choices) {
     Admission admission = MakeAdmission();
     std::map<uint64_t, int> outcomes;
     TimePoint now = kBegin;
@@ -216,8 +215,8 @@
       for (const uint64_t id : effects.start) {
         ++outcomes[id];
       }
-      for (const GivenUp& given_up : effects.give_up) {
-        ++outcomes[given_up.id];
+      for (const Refusal& refusal : effects.refuse) {
+        ++outcomes[refusal.id];
       }
     };
     for (const uint8_t choice : choices) {
--- a/Tests/LibAdmission/TestLoad.cc
+++ b/Tests/LibAdmission/TestLoad.cc
@@ -1,4 +1,5 @@
-// Plays load through the decisions about places and checks what callers get.
+// Runs simulated load through the admission of a group's ranks and checks the
+// outcomes of its callers.
 #include <doctest/doctest.h>
 
 #include "SimulatedLoad.h"
@@ -12,8 +13,8 @@
 
 constexpr uint64_t kSeeds = 5;
 
-double Fraction(int count, const CallerCounts& second) {
-  return static_cast<double>(count) / second.asked;
+double Fraction(int count, const CallerCounts& counts) {
+  return static_cast<double>(count) / counts.requests;
 }
 
 LoadSettings SmallGroup(Duration shift_interval) {
@@ -41,8 +42,10 @@
   }
 }
 
-// Failure: demand jumps within each stream's life, passes outlast the pause.
-TEST_CASE("Above capacity most are in time though demand keeps jumping") {
+// Demand shifts within each stream's lifetime and passes exceed the longest
+// pause, so that most streams are late.
+TEST_CASE(
+    "Above capacity most callers are in time although demand keeps shifting") {
   for (uint64_t seed = 0; seed < kSeeds; ++seed) {
     CAPTURE(seed);
     SimulatedLoad load(
@@ -56,8 +59,9 @@
   }
 }
 
-// Failure: all that waited is let in as a group opens, and all of it is late.
-TEST_CASE("A group that opens serves those that can be in time") {
+// A group that opens admits all waiting requests at once, and all of them are
+// late.
+TEST_CASE("A group that opens serves the callers that can be in time") {
   for (uint64_t seed = 0; seed < kSeeds; ++seed) {
     CAPTURE(seed);
     SimulatedLoad load(SmallGroup(Duration(0)), seed);
@@ -74,8 +78,8 @@
   }
 }
 
-// Failure: a burst ends and the load it left behind does not.
-TEST_CASE("Two seconds after a burst callers are answered as before it") {
+// A burst ends but the load that it caused does not.
+TEST_CASE("Two seconds after a burst callers are in time as before it") {
   for (uint64_t seed = 0; seed < kSeeds; ++seed) {
     CAPTURE(seed);
     SimulatedLoad load(SmallGroup(milliseconds(3200)), seed);
--- a/Tests/LibAdmission/TestRankAdmission.cc
+++ b/Tests/LibAdmission/TestRankAdmission.cc
@@ -13,8 +13,8 @@
                                       .longest_pause = milliseconds(120),
                                       .min_pass = milliseconds(18)};
 
-// A rank that has been open for a while and whose passes took `pass` for the
-// last half second.
+// Returns a rank that has been open for a while and whose passes took `pass`
+// for the last 0.5 s.
 RankAdmission RankAt(uint32_t running, Duration pass, TimePoint& now) {
   RankAdmission admission{.settings = kSettings};
   RankLoad load{.epoch = 1, .step = 1, .running = running, .is_open = true};
@@ -32,32 +32,33 @@
 
 }  // namespace
 
-// Story: twenty streams went to a rank with twelve slots within 0.3 s. Its
-// engine counts a stream only once it runs, a tenth of a second after it came.
-TEST_CASE("A place that was taken counts until its stream has begun") {
+// An engine counts a stream only once it runs, 0.1 s after it arrived. If
+// reservations do not count, twenty streams go to a rank with twelve slots
+// within 0.3 s.
+TEST_CASE("A reservation counts until its stream has begun") {
   TimePoint now = kStart;
   RankAdmission admission = RankAt(7, milliseconds(50), now);
   REQUIRE(OfferOf(admission, false, now).is_admitting);
   RecordReservation(admission, {.gateway = "10.0.0.1", .number = 1}, now);
   CHECK(LoadOf(admission) == 8);
   CHECK_FALSE(OfferOf(admission, false, now).is_admitting);
-  SUBCASE("It is free again once the gateway says that the stream runs") {
+  SUBCASE("It is removed once the gateway reports that the stream runs") {
     RemoveReservation(admission, {.gateway = "10.0.0.1", .number = 1});
     CHECK(LoadOf(admission) == 7);
   }
-  SUBCASE("Another gateway's number is another place") {
+  SUBCASE("Another gateway's number is another reservation") {
     RemoveReservation(admission, {.gateway = "10.0.0.2", .number = 1});
     CHECK(LoadOf(admission) == 8);
   }
-  SUBCASE("A gateway that died does not keep it") {
+  SUBCASE("It expires if the gateway has died") {
     now += std::chrono::seconds(1);
     RecordReport(admission, admission.reported, now);
     CHECK(LoadOf(admission) == 7);
   }
 }
 
-// Failure: an opening rank offers its empty places to all that waited.
-TEST_CASE("A rank that has just opened offers no more places than it has") {
+// A rank that opens offers its free permits to all waiting requests.
+TEST_CASE("A rank that has just opened offers no more permits than it has") {
   RankAdmission admission{.settings = kSettings};
   RecordReport(admission, {.epoch = 2, .step = 7, .is_open = true}, kStart);
   int admitting = 0;
@@ -68,13 +69,13 @@
     }
   }
   CHECK(admitting == 5);
-  SUBCASE("They are offered again once they were not taken") {
+  SUBCASE("They are offered again if they were not taken") {
     CHECK(OfferOf(admission, false, kStart + milliseconds(10)).is_admitting);
   }
 }
 
-// Failure: each of many gateways is offered the same place.
-TEST_CASE("Places that are being offered are not offered to everybody") {
+// Many gateways are offered the same permit at once.
+TEST_CASE("Open offers reduce the permits offered to others") {
   TimePoint now = kStart;
   RankAdmission admission = RankAt(4, milliseconds(40), now);
   int admitting = 0;
@@ -84,13 +85,13 @@
       ++admitting;
     }
   }
-  // A sixth of the offers are taken, and four streams run.
+  // One in six offers is taken, and four streams run.
   CHECK(admitting / 6.0 <= 5);
   CHECK(admitting / 6.0 > 3);
 }
 
-// Failure: a group opens with its first map and lets in all that waited.
-TEST_CASE("A rank that has opened takes more with each short pass only") {
+// A group opens with its first map and admits all waiting requests.
+TEST_CASE("The limit of an opened rank grows only with short passes") {
   RankAdmission admission{.settings = kSettings};
   RankLoad load{.epoch = 2, .step = 7, .running = 5, .is_open = true};
   TimePoint now = kStart;
@@ -107,13 +108,13 @@
   CHECK(OfferOf(admission, false, now).is_admitting);
 }
 
-// Failure: streams fit until demand jumps, and every one is late at each jump.
-TEST_CASE("What a jump of demand cost is remembered for lives of a stream") {
+// Streams fit until demand shifts, and every one is late at each shift.
+TEST_CASE("The cost of a demand shift is retained for a few stream lifetimes") {
   TimePoint now = kStart;
   RankAdmission admission = RankAt(7, milliseconds(50), now);
   REQUIRE(OfferOf(admission, false, now).is_admitting);
   RankLoad load = admission.reported;
-  // Seven streams run and one comes every 200 ms: a stream lives 1.4 s.
+  // Seven streams run and one starts every 200 ms: a stream lasts 1.4 s.
   uint64_t number = 0;
   TimePoint next_taken = now;
   const auto pass_for = [&](Duration time, Duration each) {
@@ -137,10 +138,10 @@
   CHECK(OfferOf(admission, false, now).is_admitting);
 }
 
-// Story: a group whose slow rank had recovered ran two streams a rank for ten
-// seconds, while callers of the other group were refused. The limit had grown
-// by 4% a quarter second.
-TEST_CASE("The limit follows what passes take now, both ways") {
+// A limit that grows by 4% every quarter second leaves a group whose slow rank
+// has recovered at two streams per rank for 10 s, while the other group refuses
+// callers.
+TEST_CASE("The limit follows the present pass duration up and down") {
   TimePoint now = kStart;
   const RankAdmission slow = RankAt(6, milliseconds(200), now);
   CHECK(LimitOf(slow, now) < 4);
@@ -148,7 +149,7 @@
   CHECK(LimitOf(recovered, now) > 7);
 }
 
-TEST_CASE("No stream in time is started where a pass lasts too long") {
+TEST_CASE("A rank with long passes grants no permit to a stream in time") {
   TimePoint now = kStart;
   const RankAdmission admission = RankAt(2, milliseconds(110), now);
   CHECK_FALSE(OfferOf(admission, false, now).is_admitting);
@@ -162,23 +163,23 @@
   CHECK_FALSE(OfferOf(admission, false, now).is_admitting);
 }
 
-// Story: gateways that had only late streams waiting took every place that came
-// free, so that streams that could have been in time became late as well; half
-// a minute later all were.
-TEST_CASE("Late streams leave room for those in time") {
+// Gateways with only late requests waiting take every free permit, so that
+// requests that could be in time become late too; within half a minute all
+// streams are late.
+TEST_CASE("Late streams leave permits for those in time") {
   TimePoint now = kStart;
   const RankAdmission admission = RankAt(7, milliseconds(50), now);
   CHECK(OfferOf(admission, false, now).is_admitting);
   CHECK_FALSE(OfferOf(admission, true, now).is_admitting);
 }
 
-// Story: a rank turned slow for seven seconds; its group could answer nobody in
-// time and stood idle, while the other group refused callers who would have
-// been glad of a late answer.
-TEST_CASE("A slow group takes late streams only") {
+// A rank is slow for 7 s. Its group could answer nobody in time and is idle,
+// while the other group refuses callers for whom a late answer is better than
+// none.
+TEST_CASE("A slow group admits only late streams") {
   TimePoint now = kStart;
   RankAdmission admission = RankAt(4, milliseconds(150), now);
-  SUBCASE("not at once: demand may just have jumped") {
+  SUBCASE("not at once: demand may just have shifted") {
     CHECK_FALSE(OfferOf(admission, true, now).is_admitting);
   }
   SUBCASE("after a while") {
@@ -195,7 +196,7 @@
 }
 
 TEST_CASE(
-    "A rank that is not open, slow itself or not heard of takes nothing") {
+    "A rank that is not open, is slow or sends no reports grants no permit") {
   TimePoint now = kStart;
   RankAdmission admission = RankAt(1, milliseconds(30), now);
   REQUIRE(OfferOf(admission, false, now).is_admitting);
@@ -205,15 +206,15 @@
   SUBCASE("slow") {
     admission.reported.pace = 6;
   }
-  SUBCASE("not heard of") {
+  SUBCASE("no reports") {
     now += std::chrono::seconds(1);
   }
   CHECK_FALSE(OfferOf(admission, false, now).is_admitting);
 }
 
-// Story: a group that was formed anew has its first map, under which the first
-// rush of callers made passes of 145 ms.
-TEST_CASE("Before a pass was seen few streams are taken") {
+// A re-formed group runs its first map, under which the first callers cause
+// passes of 145 ms.
+TEST_CASE("Few streams are admitted before a pass is observed") {
   RankAdmission admission{.settings = kSettings};
   RecordReport(admission, {.epoch = 2, .step = 7, .is_open = true}, kStart);
   CHECK(LimitOf(admission, kStart) == doctest::Approx(5));
--- a/Tests/LibPlacement/TestCopies.cc
+++ b/Tests/LibPlacement/TestCopies.cc
@@ -12,7 +12,7 @@
 constexpr uint16_t kExperts = 64;
 constexpr uint16_t kRanks = 8;
 
-RankLists InTurn() {
+RankLists RoundRobinLists() {
   RankLists lists(kRanks);
   for (uint16_t expert = 0; expert < kExperts; ++expert) {
     lists[expert % kRanks].push_back(expert);
@@ -20,7 +20,7 @@
   return lists;
 }
 
-// A few experts take most: 0.3, 0.11, 0.07, the rest evenly.
+// Shares of 0.3, 0.11 and 0.07 for three experts, the rest evenly.
 Shares HotShares() {
   Shares shares(kExperts, 0.52 / 61);
   shares[3] = 0.3;
@@ -47,30 +47,31 @@
 
 }  // namespace
 
-TEST_CASE("Few copies even out a hot set, and each expert keeps a copy") {
+TEST_CASE("Few copies even out a skewed set, and each expert keeps a copy") {
   std::vector<uint32_t> new_on_rank;
   const CopyPlan plan =
-      PlanCopies(InTurn(), HotShares(), {}, Limits(6), new_on_rank);
+      PlanCopies(RoundRobinLists(), HotShares(), {}, Limits(6), new_on_rank);
   CHECK(plan.skew_before > 2.5);
   CHECK(plan.skew_after < 1.4);
   CHECK(plan.copies <= 6);
   CHECK(is_complete(plan.lists));
 }
 
-TEST_CASE("Demand that jumps again and again never costs an expert its copy") {
-  RankLists lists = InTurn();
-  for (uint16_t turn = 0; turn < 60; ++turn) {
+TEST_CASE("Repeated demand shifts never remove the last copy of an expert") {
+  RankLists lists = RoundRobinLists();
+  for (uint16_t shift = 0; shift < 60; ++shift) {
     Shares shares(kExperts, 0.4 / 62);
-    shares[turn * 7 % kExperts] = 0.4;
-    shares[turn * 13 % kExperts] += 0.2;
+    shares[shift * 7 % kExperts] = 0.4;
+    shares[shift * 13 % kExperts] += 0.2;
     std::vector<uint32_t> new_on_rank;
     lists = PlanCopies(lists, shares, {}, Limits(3), new_on_rank).lists;
     REQUIRE(is_complete(lists));
   }
 }
 
-// Failure: a copy that relieves one of several lowers no skew, so none is made.
-TEST_CASE("Ranks that are equally loaded are relieved together") {
+// A copy that relieves one of several equally loaded ranks does not lower the
+// skew by itself. A search that looks at the skew alone adds none.
+TEST_CASE("Equally loaded ranks are relieved together") {
   constexpr uint16_t kManyRanks = 24;
   constexpr uint16_t kManyExperts = 48;
   RankLists lists(kManyRanks);
@@ -93,9 +94,9 @@
   CHECK(plan.copies == 12);
 }
 
-// Failure: a rank names an expert that the set does not have.
-TEST_CASE("An expert that no set has is left where it is") {
-  RankLists lists = InTurn();
+// A rank's report lists an expert that the set does not have.
+TEST_CASE("An unknown expert in a rank's list is left in place") {
+  RankLists lists = RoundRobinLists();
   lists[3].push_back(kExperts + 900);
   std::vector<uint32_t> new_on_rank;
   const CopyPlan plan =
@@ -104,28 +105,31 @@
   CHECK(plan.skew_after < 1.4);
 }
 
-// Story: one rank of a group took seven times as long as the others, and all
-// of them waited for it in every step.
-TEST_CASE("A slow rank is relieved of its experts") {
+// One rank takes seven times as long as the others, and all of them wait for it
+// in every step.
+TEST_CASE("Experts move away from a slow rank") {
   CopyLimits limits = Limits(8);
   limits.paces = std::vector<double>(kRanks, 1);
   limits.paces[2] = 7;
   std::vector<uint32_t> new_on_rank;
   const Shares even(kExperts, 1.0 / kExperts);
-  const CopyPlan plan = PlanCopies(InTurn(), even, {}, limits, new_on_rank);
+  const CopyPlan plan =
+      PlanCopies(RoundRobinLists(), even, {}, limits, new_on_rank);
   CHECK(plan.skew_before > 6);
   CHECK(plan.skew_after < 2);
   CHECK(plan.lists[2].size() < 4);
   CHECK(is_complete(plan.lists));
 }
 
-TEST_CASE("An even demand moves nothing") {
+TEST_CASE("Even demand needs no copies") {
   std::vector<uint32_t> new_on_rank;
   const Shares even(kExperts, 1.0 / kExperts);
-  CHECK(PlanCopies(InTurn(), even, {}, Limits(4), new_on_rank).copies == 0);
+  CHECK(
+      PlanCopies(RoundRobinLists(), even, {}, Limits(4), new_on_rank).copies ==
+      0);
 }
 
-TEST_CASE("A jump of demand begins anew, a drift is averaged") {
+TEST_CASE("A demand shift restarts the estimate, a small change is averaged") {
   DemandTracker tracker;
   std::vector<std::vector<double>> choices(1, std::vector<double>(4, 250));
   CHECK(ObserveChoices(tracker, choices));
@@ -139,17 +143,18 @@
   CHECK(tracker.shifts == 1);
   CHECK(tracker.present[0][0] == doctest::Approx(0.9));
   CHECK(tracker.remembered.size() == 1);
-  SUBCASE("Too few choices say nothing") {
+  SUBCASE("Too few choices make no sample") {
     choices[0] = {0, 0, 0, 100};
     CHECK_FALSE(ObserveChoices(tracker, choices));
     CHECK(tracker.shifts == 1);
   }
 }
 
-// Failure: each try of a copy copied and summed up the lists of all ranks, and
-// a plan for 96 of them stopped the owner's loop for a tenth of a second.
-TEST_CASE("Plans for large groups: property, the skew is that of the lists") {
-  tests::CheckProperty("promised and real skew are the same", [] {
+// A search that copies and sums the lists of all ranks for every candidate
+// blocks the owner's event loop for 0.1 s in a group of 96 ranks.
+TEST_CASE(
+    "Plans for large groups: property, the planned skew is that of the lists") {
+  tests::CheckProperty("planned and actual skew are equal", [] {
     const auto ranks = *rc::gen::inRange<uint16_t>(2, 128);
     const auto experts = *rc::gen::inRange<uint16_t>(ranks, 256);
     std::mt19937 random(*rc::gen::arbitrary<uint32_t>());
@@ -160,10 +165,10 @@
       lists[expert % ranks].push_back(expert);
       shares.push_back(popularity(random));
     }
-    const uint32_t places = (experts + ranks - 1U) / ranks + 1;
+    const uint32_t slots = (experts + ranks - 1U) / ranks + 1;
     std::vector<uint32_t> new_on_rank;
     const CopyPlan plan = PlanCopies(lists, shares, {},
-                                     {.expert_slots_per_rank = places,
+                                     {.expert_slots_per_rank = slots,
                                       .spare = 2,
                                       .max_copies = 40,
                                       .max_new_on_rank = 1},
@@ -172,7 +177,7 @@
     RC_ASSERT(std::abs(plan.skew_after - SkewOf(plan.lists, shares)) < 1e-6);
     std::set<uint16_t> held;
     for (const auto& list : plan.lists) {
-      RC_ASSERT(list.size() <= places);
+      RC_ASSERT(list.size() <= slots);
       held.insert(list.begin(), list.end());
     }
     RC_ASSERT(held.size() == experts);
--- a/Tests/LibPlacement/TestPassChoices.cc
+++ b/Tests/LibPlacement/TestPassChoices.cc
@@ -25,54 +25,54 @@
 
 }  // namespace
 
-TEST_CASE("A pass is given out once all ranks told of it") {
+TEST_CASE("A pass is emitted once all reporters have reported it") {
   PassChoices pass;
   CHECK_FALSE(Report(pass, 0, 7, {1, 2, 3, 4}));
-  const auto whole = Report(pass, 1, 7, {10, 20, 30, 40});
-  REQUIRE(whole);
-  CHECK(whole->front() == std::vector<double>{11, 22, 33, 44});
+  const auto sums = Report(pass, 1, 7, {10, 20, 30, 40});
+  REQUIRE(sums);
+  CHECK(sums->front() == std::vector<double>{11, 22, 33, 44});
   CHECK_FALSE(Report(pass, 1, 7, {10, 20, 30, 40}));
 }
 
-// Story: after demand had jumped, maps were planned for a mixture of what had
-// been and what was, replaced at once, and the right copies came half a second
-// late. A sample was cut by the clock and held passes of both kinds.
-TEST_CASE("The first pass after a jump shows nothing of the demand before") {
+// A sample cut by time mixes the passes before and after a demand shift. Maps
+// are then planned for the mixture and replaced at once, and the right copies
+// arrive 0.5 s late.
+TEST_CASE("The first pass after a demand shift contains no earlier demand") {
   PassChoices pass;
   DemandTracker tracker;
   for (uint64_t step = 1; step <= 3; ++step) {
     for (uint32_t rank = 0; rank < 2; ++rank) {
-      const auto whole = Report(pass, rank, step, {400, 0, 0, 0});
-      if (whole) {
-        ObserveChoices(tracker, *whole);
+      const auto sums = Report(pass, rank, step, {400, 0, 0, 0});
+      if (sums) {
+        ObserveChoices(tracker, *sums);
       }
     }
   }
-  // One rank is heard of the jump before the other is heard of it.
+  // Rank 1 reports the pass after the shift before rank 0 does.
   CHECK_FALSE(Report(pass, 1, 4, {0, 0, 0, 400}));
-  const auto whole = Report(pass, 0, 4, {0, 0, 0, 400});
-  REQUIRE(whole);
-  CHECK(ObserveChoices(tracker, *whole));
+  const auto sums = Report(pass, 0, 4, {0, 0, 0, 400});
+  REQUIRE(sums);
+  CHECK(ObserveChoices(tracker, *sums));
   CHECK(tracker.shifts == 1);
   CHECK(tracker.present[0] == Shares{0, 0, 0, 1});
 }
 
-TEST_CASE("A pass that a newer one overtakes is given out as it is") {
+TEST_CASE("An incomplete pass is emitted when a newer one begins") {
   PassChoices pass;
   Report(pass, 0, 7, {1, 1, 1, 1});
   const auto superseded = Report(pass, 1, 8, {5, 0, 0, 0});
   REQUIRE(superseded);
   CHECK(superseded->front() == std::vector<double>{1, 1, 1, 1});
-  SUBCASE("News that come late for it are dropped") {
+  SUBCASE("Later reports for it are dropped") {
     CHECK_FALSE(Report(pass, 1, 7, {9, 9, 9, 9}));
     CHECK(Report(pass, 0, 8, {0, 5, 0, 0})->front() ==
           std::vector<double>{5, 5, 0, 0});
   }
 }
 
-// Story: the agent of one rank was killed, and from then on the group's map
-// followed nothing, since no pass was ever whole.
-TEST_CASE("A rank that tells nothing is not waited for") {
+// The agent of one rank is killed and no pass is ever complete, so the group's
+// map never changes again.
+TEST_CASE("A pass is emitted after a timeout if a rank does not report") {
   PassChoices pass;
   Report(pass, 0, 7, {1, 1, 1, 1});
   CHECK_FALSE(EmitIfOverdue(pass, kStart + std::chrono::milliseconds(20)));
@@ -80,7 +80,8 @@
   CHECK_FALSE(EmitIfOverdue(pass, kStart + std::chrono::milliseconds(90)));
 }
 
-TEST_CASE("Steps of a new epoch begin anew, and those of an old one are late") {
+TEST_CASE(
+    "A new epoch starts a new pass, and reports of an old one are dropped") {
   PassChoices pass;
   Report(pass, 0, 90, {1, 1, 1, 1});
   CHECK(Report(pass, 0, 2, {2, 2, 2, 2}, kStart, 2));
@@ -88,14 +89,14 @@
   CHECK(Report(pass, 1, 2, {2, 2, 2, 2}, kStart, 2)->front()[0] == 4);
 }
 
-TEST_CASE("Counts of another shape are dropped") {
+TEST_CASE("Counts of the wrong size are dropped") {
   PassChoices pass;
   CHECK_FALSE(Report(pass, 0, 7, {1, 2, 3}));
   CHECK_FALSE(Report(pass, 0, 7, {}));
   CHECK(pass.is_emitted);
 }
 
-TEST_CASE("Packed counts keep who is in demand") {
+TEST_CASE("Packed counts keep the distribution within 1/255 of the maximum") {
   const std::vector<uint32_t> counts{0, 1, 80'000, 4'000, 300};
   const PackedCounts packed = PackCounts(counts);
   CHECK(packed.counts.size() == counts.size());
@@ -109,9 +110,9 @@
   CHECK(PackCounts({}).counts.empty());
 }
 
-// Story: in groups of 32 ranks no map was ever switched. What all ranks counted
-// in every pass was four times what the owner's link carries.
-TEST_CASE("In a large group a part of the ranks tells of each pass") {
+// If all 32 ranks report every pass, their counts are four times what the
+// owner's link carries, and no map is ever switched.
+TEST_CASE("In a large group a subset of the ranks reports each pass") {
   for (uint64_t step = 1; step <= 4; ++step) {
     int reporters = 0;
     for (uint32_t rank = 0; rank < 32; ++rank) {
@@ -124,18 +125,18 @@
   }
   PassChoices pass;
   constexpr ChoicesShape kLarge{.ranks = 32, .sets = 1, .experts = 4};
-  std::optional<Choices> whole;
+  std::optional<Choices> sums;
   const std::vector<uint32_t> counts{1, 0, 0, 0};
   for (uint32_t rank = 0; rank < 32; ++rank) {
     if (is_reporter(rank, 32, 6)) {
-      CHECK_FALSE(whole);
-      whole = AddChoices(
-          pass, {.rank = rank, .epoch = 1, .step = 6, .counts = counts}, kLarge,
-          kStart);
+      CHECK_FALSE(sums);
+      sums = AddChoices(pass,
+                        {.rank = rank, .epoch = 1, .step = 6, .counts = counts},
+                        kLarge, kStart);
     }
   }
-  REQUIRE(whole);
-  CHECK(whole->front()[0] == 8);
+  REQUIRE(sums);
+  CHECK(sums->front()[0] == 8);
 }
 
 }  // namespace bramleyspan::placement
--- a/Tests/LibPlacement/TestRebalancer.cc
+++ b/Tests/LibPlacement/TestRebalancer.cc
@@ -40,7 +40,8 @@
   return counts;
 }
 
-// The shares of a moment: requests that run together share topics.
+// Returns shares with random noise: requests that run concurrently share
+// topics.
 Shares AddNoise(Shares shares, std::mt19937& random) {
   std::normal_distribution<double> normal(0, 0.1);
   for (double& share : shares) {
@@ -67,8 +68,9 @@
   return StartRebalancer(settings, {{PackLayer(shares, kShape)}}).value();
 }
 
-// A virtual run: a step is observed every ten seconds, a plan asked for every
-// minute and switched to at once. Returns each plan's loads.
+// Advances a rebalancer in virtual time: it observes a step every 10 s,
+// proposes a plan every minute and switches to it at once. Returns the loads of
+// all plans.
 struct VirtualRun {
   Rebalancer rebalancer;
   TimePoint now{};
@@ -99,13 +101,12 @@
 
 }  // namespace
 
-// The group's steps stall every few minutes although nothing changed: a few
-// sampled steps make a placement look uneven, the planner "mends" it, and the
-// next steps make the mended one look uneven.
-TEST_CASE("noise without drift moves nothing") {
+// A few sampled steps make an even placement look uneven. A planner that reacts
+// to this noise moves copies back and forth, and each switch stalls the group.
+TEST_CASE("noise without drift causes no loads") {
   const Shares shares = ZipfShares(1);
   RebalanceSettings settings = MakeSettings();
-  // Loads cost nothing, so that only the noise holds the planner back.
+  // Loads cost nothing, so only the noise threshold prevents plans.
   settings.skew_weight = 1;
   VirtualRun run{.rebalancer = StartPackedFor(shares, settings)};
   std::mt19937 random(3);
@@ -117,10 +118,10 @@
   CHECK(loads == 0);
 }
 
-// Popularity swings between two topics every few minutes. A planner without
-// memory loads a copy, drops it and loads it again: the weight store is busy
-// all day for experts that were there an hour ago.
-TEST_CASE("a copy that went lately comes back only at a higher price") {
+// Popularity alternates between two topics every few minutes. A planner without
+// a record of recent changes loads, drops and reloads the same copies and keeps
+// the weight store busy.
+TEST_CASE("undoing a recent change has a higher price") {
   const Shape shape{.ranks = 3, .slots_per_rank = 2};
   const Shares shares{0.8, 0.1, 0.1};
   const LayerPlacement layer{{{0}, {1}, {2}}};
@@ -134,9 +135,9 @@
   CHECK(PriceInLoads(first[0], limits) == limits.undo_price);
 }
 
-// The same story as a whole: what a plan brings and what it takes away is
-// remembered for the settle time, and is gone from memory afterwards.
-TEST_CASE("a plan's copies are remembered until they have settled") {
+// Copies that a plan loads or drops are recorded for the settle time and
+// removed afterwards.
+TEST_CASE("a plan's changes are recorded until the settle time is over") {
   VirtualRun run{.rebalancer = StartPackedFor(ZipfShares(1), MakeSettings())};
   CHECK(!run.Advance(std::chrono::minutes(30), ZipfShares(2)).empty());
   const auto& recent = run.rebalancer.recent;
@@ -149,10 +150,11 @@
                     [&](const auto& change) { return change.at > run.now; }));
 }
 
-// The night before term turns every expert's popularity over at once. Without
-// a budget a group would ask for all its weights within minutes, and every
-// other group's loads would queue behind them.
-TEST_CASE("a burst stays within the hour's budget of loads") {
+// The popularity of every expert changes at once. Without a budget the group
+// would load all its weights within minutes and delay the loads of all other
+// groups.
+TEST_CASE(
+    "a change of all popularities stays within the hourly budget of loads") {
   RebalanceSettings settings = MakeSettings();
   settings.loads_per_hour = 6;
   VirtualRun run{.rebalancer = StartPackedFor(ZipfShares(1), settings)};
@@ -162,8 +164,8 @@
   CHECK(ProposePlan(run.rebalancer, run.now).hold != HoldReason::kNone);
 }
 
-// Two switches race when a plan is made while the last one is loading.
-TEST_CASE("no second plan while one is underway") {
+// A plan made while another one is loading would race with it.
+TEST_CASE("no second plan is proposed while one is underway") {
   VirtualRun run{.rebalancer = StartPackedFor(ZipfShares(1), MakeSettings())};
   std::mt19937 random(1);
   for (int step = 1; step <= 20; ++step) {
@@ -177,18 +179,18 @@
   CHECK(ProposePlan(run.rebalancer, now).plan.has_value());
 }
 
-// A weight of zero means an operator wants no moves at all.
-TEST_CASE("a skew weight of zero never moves") {
+// A skew weight of zero means that the operator wants no placement changes.
+TEST_CASE("a skew weight of zero never proposes a plan") {
   RebalanceSettings settings = MakeSettings();
   settings.skew_weight = 0;
   VirtualRun run{.rebalancer = StartPackedFor(ZipfShares(1), settings)};
   CHECK(run.Advance(std::chrono::hours(1), ZipfShares(2)).empty());
 }
 
-// A plan that drops the last copy of an expert leaves tokens without a rank;
-// one that exceeds the slots makes an engine run out of memory in the switch.
+// Without its last copy an expert's tokens have no rank; with more copies than
+// slots an engine runs out of memory in the switch.
 TEST_CASE("property: a plan keeps a copy of each expert within the slots") {
-  tests::CheckProperty("any prefix of the changes is valid", [] {
+  tests::CheckProperty("any prefix of the changes is a valid placement", [] {
     const Shape shape{*rc::gen::inRange<uint32_t>(2, 9),
                       *rc::gen::inRange<uint32_t>(2, 6)};
     const auto experts =
@@ -210,8 +212,8 @@
   });
 }
 
-// A placement is called bad for a skew that the randomness of a step alone
-// brings, and moves are made that cannot help.
+// Without the noise floor a placement looks bad for a skew that comes from the
+// randomness of a step alone, and changes are made that cannot help.
 TEST_CASE("even loads have the skew of the noise floor") {
   CHECK(ExpectedSkew(std::vector<double>(32, 1.0), 2048) ==
         doctest::Approx(1.26).epsilon(0.02));
@@ -219,7 +221,7 @@
         doctest::Approx(1.09).epsilon(0.02));
 }
 
-TEST_CASE("a late observation does not bring old popularity back") {
+TEST_CASE("an observation older than the last one is dropped") {
   Popularity popularity;
   const TimePoint start(std::chrono::hours(1));
   ObserveStep(popularity, {10, 0}, std::chrono::minutes(5), start);
@@ -228,9 +230,9 @@
   CHECK(EstimateShares(popularity)[0] == doctest::Approx(1));
 }
 
-// The answer to a group's question is lost and the group asks again; or one
-// group asks ten times as often as the others to get their part.
-TEST_CASE("asking again grants nothing twice, and groups share evenly") {
+// The response to a group is lost and the group requests again, or one group
+// requests ten times as often as the others to get more.
+TEST_CASE("a repeated request grants nothing twice, and groups share evenly") {
   StoreBudget budget{.bytes_per_second = 100, .burst_bytes = 1000};
   TimePoint now(std::chrono::hours(1));
   CHECK(RequestBytes(budget, "a", 1, 5000, now) == 0);
@@ -238,7 +240,7 @@
   uint64_t granted = 0;
   for (int second = 1; second <= 20; ++second) {
     now += std::chrono::seconds(1);
-    for (int again = 0; again < 10; ++again) {
+    for (int repeat = 0; repeat < 10; ++repeat) {
       granted = RequestBytes(budget, "a", 1, 5000, now);
     }
     const uint64_t other = RequestBytes(budget, "b", 1, 5000, now);
--- a/Tests/LibPlacement/TestSwitchPlan.cc
+++ b/Tests/LibPlacement/TestSwitchPlan.cc
@@ -16,7 +16,7 @@
                                .spare = 4};
 constexpr Duration kPause = std::chrono::milliseconds(120);
 
-SetLists InTurn() {
+SetLists RoundRobinLists() {
   RankLists lists(kRanks);
   for (uint16_t expert = 0; expert < kExperts; ++expert) {
     lists[expert % kRanks].push_back(expert);
@@ -24,7 +24,8 @@
   return SetLists(kSets, lists);
 }
 
-// In each set another expert is hot; `hot` is its share.
+// Returns demand in which one expert of each set, a different one in each, has
+// the share `hot` of that set.
 DemandTracker DemandWith(const std::vector<double>& hot) {
   DemandTracker demand;
   for (size_t set = 0; set < hot.size(); ++set) {
@@ -51,38 +52,39 @@
 
 }  // namespace
 
-// Story: after a jump of demand two copies were ordered at one rank, and the
-// whole group ran on its old map until the second had come over that rank's
-// link, 0.15 s after all others were there.
-TEST_CASE("A switch brings each rank one copy at most") {
-  const SwitchPlan plan =
-      PlanSwitch(InTurn(), DemandWith({0.3, 0.3, 0.3, 0.3, 0.3, 0.3}), kLimits);
+// Two copies at one rank queue on its link, and the whole group runs on its old
+// map until the second has arrived, 0.15 s after all others.
+TEST_CASE("A switch adds at most one copy to each rank") {
+  const SwitchPlan plan = PlanSwitch(
+      RoundRobinLists(), DemandWith({0.3, 0.3, 0.3, 0.3, 0.3, 0.3}), kLimits);
   CHECK(plan.copies == kRanks);
-  for (const size_t count : NewOnRanks(InTurn(), plan.lists)) {
+  for (const size_t count : NewOnRanks(RoundRobinLists(), plan.lists)) {
     CHECK(count <= 1);
   }
   CHECK(plan.skew_after < plan.skew_before - 0.5);
 }
 
-// Failure: a map stays uneven for many switches, each with one copy a rank.
-TEST_CASE("A switch brings several copies where each takes no time") {
+// With one copy per rank a map stays uneven for many switches although copies
+// take hardly any time.
+TEST_CASE("A switch adds several copies where each takes little time") {
   CHECK(CopiesPerRank(std::chrono::milliseconds(400)) == 1);
   CHECK(CopiesPerRank(std::chrono::milliseconds(18)) > 1);
   CHECK(CopiesPerRank(Duration(0)) == 1);
   SwitchLimits limits = kLimits;
   limits.copies_per_rank = 2;
   const DemandTracker demand = DemandWith({0.3, 0.3, 0.3, 0.3, 0.3, 0.3});
-  const SwitchPlan one = PlanSwitch(InTurn(), demand, kLimits);
-  const SwitchPlan two = PlanSwitch(InTurn(), demand, limits);
+  const SwitchPlan one = PlanSwitch(RoundRobinLists(), demand, kLimits);
+  const SwitchPlan two = PlanSwitch(RoundRobinLists(), demand, limits);
   CHECK(two.copies > one.copies);
   CHECK(two.skew_after < one.skew_after - 0.2);
-  for (const size_t count : NewOnRanks(InTurn(), two.lists)) {
+  for (const size_t count : NewOnRanks(RoundRobinLists(), two.lists)) {
     CHECK(count <= 2);
   }
 }
 
-TEST_CASE("What is left over goes to the most uneven sets") {
-  const SetLists before = InTurn();
+TEST_CASE(
+    "The remainder of the copies goes to the sets with the highest skew") {
+  const SetLists before = RoundRobinLists();
   const SwitchPlan plan =
       PlanSwitch(before, DemandWith({0.1, 0.1, 0.4, 0.1, 0.1, 0.4}), kLimits);
   for (const size_t set : {size_t{2}, size_t{5}}) {
@@ -94,11 +96,11 @@
   }
 }
 
-TEST_CASE("A slow rank is emptied faster than one expert a switch") {
+TEST_CASE("A switch takes more than one expert from a slow rank") {
   SwitchLimits limits = kLimits;
   limits.paces = std::vector<double>(kRanks, 1);
   limits.paces[3] = 6;
-  const SetLists before = InTurn();
+  const SetLists before = RoundRobinLists();
   const SwitchPlan plan = PlanSwitch(
       before, DemandWith(std::vector<double>(kSets, 1.0 / 64)), limits);
   for (const auto& set : plan.lists) {
@@ -106,20 +108,22 @@
   }
 }
 
-// Failure: one slow rank of many left all sets with a few copies a switch.
-TEST_CASE("A slow rank of many does not hold back copies for the others") {
+// One slow rank among many must not reduce all sets to the few copies per
+// switch that a slow rank allows at least.
+TEST_CASE("One slow rank does not reduce the copies for the others") {
   SwitchLimits limits = kLimits;
   limits.copies_per_rank = 6;
   const DemandTracker demand = DemandWith({0.3, 0.3, 0.3, 0.3, 0.3, 0.3});
   limits.paces = std::vector<double>(kRanks, 1);
   limits.paces[3] = 1.5;
-  constexpr uint32_t kFewInASet = 4;
-  CHECK(PlanSwitch(InTurn(), demand, limits).copies > kFewInASet * kSets);
+  constexpr uint32_t kFewPerSet = 4;
+  CHECK(PlanSwitch(RoundRobinLists(), demand, limits).copies >
+        kFewPerSet * kSets);
 }
 
-// Story: on a calm day, with passes of 40 ms where 120 are allowed, copies
-// cost more than all else the product decides, and no caller was better off.
-TEST_CASE("The shorter the passes, the more a switch must gain") {
+// With passes of 40 ms where 120 ms are allowed, copies cost more than all else
+// that is decided and help no caller.
+TEST_CASE("Shorter passes require more gain of a switch") {
   CHECK(MinGainOfSwitch(kPause * 9 / 10, kPause) == doctest::Approx(0.12));
   CHECK(MinGainOfSwitch(kPause / 2, kPause) == doctest::Approx(0.12));
   CHECK(MinGainOfSwitch(kPause / 3, kPause) > 0.5);
