--- a/Libraries/LibAdmission/ClassQueues.cc
+++ b/Libraries/LibAdmission/ClassQueues.cc
@@ -9,7 +9,7 @@
 
 // Iterations of the fixed point in WaitMicroseconds. Each adds the arrivals
 // expected during the wait that the previous one found.
-constexpr int kRounds = 12;
+constexpr int kMaxIterations = 12;
 
 }  // namespace
 
@@ -83,7 +83,7 @@
   const double own_starts = static_cast<double>(position) + 1;
   const auto window = static_cast<double>(kArrivalWindow.count());
   double wait = 0;
-  for (int round = 0; round < kRounds; ++round) {
+  for (int iteration = 0; iteration < kMaxIterations; ++iteration) {
     double starts = own_starts;
     for (size_t index = 0; index < kClasses; ++index) {
       if (index == own) {
--- a/Libraries/LibAdmission/ClassQueues.h
+++ b/Libraries/LibAdmission/ClassQueues.h
@@ -22,7 +22,7 @@
   // The time by which the first token is due.
   TimePoint deadline;
   uint32_t prompt_tokens = 0;
-  // A hash of the first part of the prompt; zero for none.
+  // Identifies the first part of the prompt; zero for none.
   uint64_t prefix = 0;
 };
 
--- a/Libraries/LibAdmission/RankAdmission.h
+++ b/Libraries/LibAdmission/RankAdmission.h
@@ -1,8 +1,9 @@
-// Decides how many streams the rank beside an agent runs concurrently. All
-// ranks of a group advance in lock step, so each further stream lengthens every
-// pass; past a point every stream is late. A request without a permit waits at
-// the gateway, where it costs no rank anything and can be refused while its
-// caller still has time.
+// Decides how many streams the rank beside an agent runs concurrently. A
+// gateway needs a permit to start a stream. All ranks of a group advance in
+// lock step, one pass at a time, so each further stream lengthens every pass;
+// past a point every stream is late. A request without a permit waits at the
+// gateway, where it costs no rank anything and can be refused while its caller
+// still has time.
 //
 // The agent polls its rank's report every few ticks on the same machine, so it
 // knows the load within milliseconds. A gateway's view of what the other
--- a/Libraries/LibPlacement/DemandTracker.h
+++ b/Libraries/LibPlacement/DemandTracker.h
@@ -30,6 +30,7 @@
 
 struct DemandTracker {
   DemandTrackerSettings settings;
+  // The average of recent samples; empty before the first one.
   Pattern present;
   std::vector<Pattern> remembered;
   uint64_t shifts = 0;
--- a/Libraries/LibPlacement/PassChoices.cc
+++ b/Libraries/LibPlacement/PassChoices.cc
@@ -62,11 +62,11 @@
 PackedCounts PackCounts(std::span<const uint32_t> counts) {
   constexpr float kLargest = 255;
   PackedCounts packed;
-  const auto most = std::max_element(counts.begin(), counts.end());
-  if (most == counts.end()) {
+  const auto largest = std::max_element(counts.begin(), counts.end());
+  if (largest == counts.end()) {
     return packed;
   }
-  packed.unit = std::max(1.0F, static_cast<float>(*most) / kLargest);
+  packed.unit = std::max(1.0F, static_cast<float>(*largest) / kLargest);
   for (const uint32_t count : counts) {
     packed.counts.push_back(static_cast<uint8_t>(
         std::lround(static_cast<float>(count) / packed.unit)));
--- a/Libraries/LibPlacement/PassChoices.h
+++ b/Libraries/LibPlacement/PassChoices.h
@@ -1,11 +1,11 @@
 // Adds up how often each expert was chosen by the ranks of a group in one pass.
-// A rank counts the choices of a pass as the pass begins, so the first pass
-// after a demand shift shows the whole shift, provided that passes are kept
-// apart.
+// A pass is one lock-step iteration of all ranks. A rank counts the choices of
+// a pass as the pass begins, so the first pass after a demand shift shows the
+// whole shift, provided that passes are kept apart.
 //
 // Samples cut by time instead of by pass mix the demand before and after a
-// shift. The map planned for the mixture was replaced 0.1 s later, but its
-// copies still occupied the links, and the correct map took effect 0.7 s after
+// shift. A map planned for such a mixture is replaced 0.1 s later, but its
+// copies still occupy the links, and the correct map takes effect 0.7 s after
 // the shift instead of 0.4 s.
 #pragma once
 
--- a/Libraries/LibPlacement/Rebalancer.cc
+++ b/Libraries/LibPlacement/Rebalancer.cc
@@ -12,7 +12,8 @@
 
 constexpr Duration kBudgetWindow = std::chrono::hours(1);
 constexpr double kBytesPerGigabyte = 1e9;
-// The smallest skew weight used; keeps the cost of a load finite.
+// Below this skew weight a second of skew has no value. The bound keeps the
+// cost of a load finite.
 constexpr double kMinWeight = 1e-6;
 
 // The profitable changes of one layer.
--- a/Libraries/LibPlacement/SwitchPlan.cc
+++ b/Libraries/LibPlacement/SwitchPlan.cc
@@ -18,7 +18,8 @@
 constexpr double kMinGainOfLongPasses = 0.12;
 // A pass is long from this fraction of the longest pause on.
 constexpr double kLongPassFraction = 0.45;
-// The additional skew to remove per unit of that fraction below it.
+// The additional skew that a switch must remove per unit by which a pass, as a
+// fraction of the longest pause, is below kLongPassFraction.
 constexpr double kGainPerIdleFraction = 6;
 
 // Returns the indices of the sets in descending order of skew.
@@ -48,6 +49,7 @@
 }  // namespace
 
 uint32_t CopiesPerRank(Duration copy) {
+  // The time that the copies of one switch may take on a rank's link.
   constexpr Duration kMaxCopyTime = std::chrono::milliseconds(60);
   if (copy <= Duration(0)) {
     return 1;
--- a/Tests/LibAdmission/TestAdmission.cc
+++ b/Tests/LibAdmission/TestAdmission.cc
@@ -43,8 +43,8 @@
   CHECK(effects.start == std::vector<uint64_t>{3});
 }
 
-// The agent admits a request although its queue is longer than the deadline
-// from the start, and the caller is refused only after a wait of 2 s.
+// Guards against admitting a request although the queue is longer than its
+// deadline from the start: its caller is refused only after a wait of 2 s.
 TEST_CASE("a request that cannot be answered in time is refused on arrival") {
   Admission admission = MakeAdmission();
   uint64_t id = 0;
@@ -59,8 +59,8 @@
   CHECK(next.retry_after > decision.retry_after);
 }
 
-// Interactive requests keep arriving and always go first, so that batch
-// requests never start.
+// If interactive requests keep arriving and always go first, batch requests
+// never start.
 TEST_CASE("no class starves while more urgent ones keep coming") {
   ClassQueues queues;
   for (uint64_t id = 1; id <= 40; ++id) {
@@ -77,8 +77,8 @@
   CHECK(started[ServiceClass::kBatch] == 10);
 }
 
-// Batch requests that were idle for hours have accumulated a claim to start,
-// and interactive requests wait behind a burst of them.
+// Guards against a class that accumulates a claim to start while idle: after
+// hours without batch requests, interactive ones wait behind a burst of them.
 TEST_CASE("an idle class accumulates no claim to the next starts") {
   ClassQueues queues;
   for (uint64_t id = 1; id <= 100; ++id) {
@@ -96,8 +96,8 @@
   CHECK(batch <= 2);
 }
 
-// A frozen engine sends no event, so a request that waits for it is refused
-// only at its deadline.
+// A frozen engine sends no event. Without a check on time, the caller of a
+// request that waits for it is refused 2 s late.
 TEST_CASE(
     "a request that waits for a stalled back end is refused long before "
     "its deadline") {
@@ -136,9 +136,9 @@
   CHECK(after.first_token > 4 * before.first_token);
 }
 
-// An estimate from the queue alone promises batch requests starts that later
-// interactive requests take; they are then refused after most of their
-// deadline.
+// Guards against an estimate from the queue alone. It promises batch requests
+// starts that later interactive requests take, and they are refused after most
+// of their deadline.
 TEST_CASE("an estimate includes the expected arrivals of more urgent classes") {
   ClassQueues quiet;
   ClassQueues busy;
@@ -153,8 +153,8 @@
   CHECK(busy_wait > 3 * quiet_wait);
 }
 
-// The fixed cost of a dozen short prompts is taken for a cost per token, and a
-// prompt a thousand times longer is refused by an idle back end.
+// Guards against taking the fixed cost of a dozen short prompts for a cost per
+// token: an idle back end then refuses a prompt a thousand times longer.
 TEST_CASE("prompts of one length imply no cost per token") {
   Admission admission = MakeAdmission();
   TimePoint now = kBegin;
--- a/Tests/LibAdmission/TestLoad.cc
+++ b/Tests/LibAdmission/TestLoad.cc
@@ -42,8 +42,8 @@
   }
 }
 
-// Demand shifts within each stream's lifetime and passes exceed the longest
-// pause, so that most streams are late.
+// Guards against passes that exceed the longest pause because demand shifts
+// within each stream's lifetime.
 TEST_CASE(
     "Above capacity most callers are in time although demand keeps shifting") {
   for (uint64_t seed = 0; seed < kSeeds; ++seed) {
@@ -59,8 +59,8 @@
   }
 }
 
-// A group that opens admits all waiting requests at once, and all of them are
-// late.
+// Guards against a group that opens and admits all waiting requests at once,
+// all of which are then late.
 TEST_CASE("A group that opens serves the callers that can be in time") {
   for (uint64_t seed = 0; seed < kSeeds; ++seed) {
     CAPTURE(seed);
@@ -78,7 +78,7 @@
   }
 }
 
-// A burst ends but the load that it caused does not.
+// Guards against load that remains after the burst that caused it has ended.
 TEST_CASE("Two seconds after a burst callers are in time as before it") {
   for (uint64_t seed = 0; seed < kSeeds; ++seed) {
     CAPTURE(seed);
--- a/Tests/LibAdmission/TestRankAdmission.cc
+++ b/Tests/LibAdmission/TestRankAdmission.cc
@@ -57,7 +57,8 @@
   }
 }
 
-// A rank that opens offers its free permits to all waiting requests.
+// Guards against a rank that opens and offers its free permits to all waiting
+// requests.
 TEST_CASE("A rank that has just opened offers no more permits than it has") {
   RankAdmission admission{.settings = kSettings};
   RecordReport(admission, {.epoch = 2, .step = 7, .is_open = true}, kStart);
@@ -74,7 +75,7 @@
   }
 }
 
-// Many gateways are offered the same permit at once.
+// Guards against offering the same permit to many gateways at once.
 TEST_CASE("Open offers reduce the permits offered to others") {
   TimePoint now = kStart;
   RankAdmission admission = RankAt(4, milliseconds(40), now);
@@ -90,7 +91,8 @@
   CHECK(admitting / 6.0 > 3);
 }
 
-// A group opens with its first map and admits all waiting requests.
+// Guards against a group that opens with its first map and admits all waiting
+// requests.
 TEST_CASE("The limit of an opened rank grows only with short passes") {
   RankAdmission admission{.settings = kSettings};
   RankLoad load{.epoch = 2, .step = 7, .running = 5, .is_open = true};
@@ -108,7 +110,8 @@
   CHECK(OfferOf(admission, false, now).is_admitting);
 }
 
-// Streams fit until demand shifts, and every one is late at each shift.
+// Guards against a limit that fits only until demand shifts, so that every
+// stream is late at each shift.
 TEST_CASE("The cost of a demand shift is retained for a few stream lifetimes") {
   TimePoint now = kStart;
   RankAdmission admission = RankAt(7, milliseconds(50), now);
@@ -116,13 +119,13 @@
   RankLoad load = admission.reported;
   // Seven streams run and one starts every 200 ms: a stream lasts 1.4 s.
   uint64_t number = 0;
-  TimePoint next_taken = now;
+  TimePoint next_reservation = now;
   const auto pass_for = [&](Duration time, Duration each) {
     for (const TimePoint end = now + time; now < end; now += each) {
-      if (now >= next_taken) {
+      if (now >= next_reservation) {
         RecordReservation(admission, {.gateway = "g", .number = ++number}, now);
         RemoveReservation(admission, {.gateway = "g", .number = number});
-        next_taken += milliseconds(200);
+        next_reservation += milliseconds(200);
       }
       ++load.step;
       RecordReport(admission, load, now);
@@ -138,9 +141,9 @@
   CHECK(OfferOf(admission, false, now).is_admitting);
 }
 
-// A limit that grows by 4% every quarter second leaves a group whose slow rank
-// has recovered at two streams per rank for 10 s, while the other group refuses
-// callers.
+// Guards against a limit that grows by 4% every quarter second: a group whose
+// slow rank has recovered stays at two streams per rank for 10 s, while the
+// other group refuses callers.
 TEST_CASE("The limit follows the present pass duration up and down") {
   TimePoint now = kStart;
   const RankAdmission slow = RankAt(6, milliseconds(200), now);
@@ -163,9 +166,9 @@
   CHECK_FALSE(OfferOf(admission, false, now).is_admitting);
 }
 
-// Gateways with only late requests waiting take every free permit, so that
-// requests that could be in time become late too; within half a minute all
-// streams are late.
+// Guards against gateways with only late requests waiting that take every free
+// permit, so that requests that could be in time become late too; within half a
+// minute all streams are late.
 TEST_CASE("Late streams leave permits for those in time") {
   TimePoint now = kStart;
   const RankAdmission admission = RankAt(7, milliseconds(50), now);
@@ -173,9 +176,9 @@
   CHECK_FALSE(OfferOf(admission, true, now).is_admitting);
 }
 
-// A rank is slow for 7 s. Its group could answer nobody in time and is idle,
-// while the other group refuses callers for whom a late answer is better than
-// none.
+// Guards against an idle group: a rank is slow for 7 s, so its group can answer
+// nobody in time and admits none, while the other group refuses callers for
+// whom a late answer is better than none.
 TEST_CASE("A slow group admits only late streams") {
   TimePoint now = kStart;
   RankAdmission admission = RankAt(4, milliseconds(150), now);
--- a/Tests/LibPlacement/TestCopies.cc
+++ b/Tests/LibPlacement/TestCopies.cc
@@ -21,7 +21,7 @@
 }
 
 // Shares of 0.3, 0.11 and 0.07 for three experts, the rest evenly.
-Shares HotShares() {
+Shares SkewedShares() {
   Shares shares(kExperts, 0.52 / 61);
   shares[3] = 0.3;
   shares[20] = 0.11;
@@ -50,7 +50,7 @@
 TEST_CASE("Few copies even out a skewed set, and each expert keeps a copy") {
   std::vector<uint32_t> new_on_rank;
   const CopyPlan plan =
-      PlanCopies(RoundRobinLists(), HotShares(), {}, Limits(6), new_on_rank);
+      PlanCopies(RoundRobinLists(), SkewedShares(), {}, Limits(6), new_on_rank);
   CHECK(plan.skew_before > 2.5);
   CHECK(plan.skew_after < 1.4);
   CHECK(plan.copies <= 6);
@@ -100,7 +100,7 @@
   lists[3].push_back(kExperts + 900);
   std::vector<uint32_t> new_on_rank;
   const CopyPlan plan =
-      PlanCopies(lists, HotShares(), {}, Limits(6), new_on_rank);
+      PlanCopies(lists, SkewedShares(), {}, Limits(6), new_on_rank);
   CHECK(plan.lists[3].size() >= lists[3].size());
   CHECK(plan.skew_after < 1.4);
 }
@@ -150,8 +150,8 @@
   }
 }
 
-// A search that copies and sums the lists of all ranks for every candidate
-// blocks the owner's event loop for 0.1 s in a group of 96 ranks.
+// Guards against a search that copies and sums the lists of all ranks for every
+// candidate: it blocks the owner's event loop for 0.1 s in a group of 96 ranks.
 TEST_CASE(
     "Plans for large groups: property, the planned skew is that of the lists") {
   tests::CheckProperty("planned and actual skew are equal", [] {
--- a/Tests/LibPlacement/TestPassChoices.cc
+++ b/Tests/LibPlacement/TestPassChoices.cc
@@ -34,9 +34,9 @@
   CHECK_FALSE(Report(pass, 1, 7, {10, 20, 30, 40}));
 }
 
-// A sample cut by time mixes the passes before and after a demand shift. Maps
-// are then planned for the mixture and replaced at once, and the right copies
-// arrive 0.5 s late.
+// Guards against samples cut by time, which mix the passes before and after a
+// demand shift. Maps are then planned for the mixture and replaced at once, and
+// the right copies arrive 0.5 s late.
 TEST_CASE("The first pass after a demand shift contains no earlier demand") {
   PassChoices pass;
   DemandTracker tracker;
@@ -70,8 +70,8 @@
   }
 }
 
-// The agent of one rank is killed and no pass is ever complete, so the group's
-// map never changes again.
+// Without the timeout no pass is complete after the agent of one rank is
+// killed, and the group's map never changes again.
 TEST_CASE("A pass is emitted after a timeout if a rank does not report") {
   PassChoices pass;
   Report(pass, 0, 7, {1, 1, 1, 1});
--- a/Tests/LibPlacement/TestRebalancer.cc
+++ b/Tests/LibPlacement/TestRebalancer.cc
@@ -151,7 +151,7 @@
 }
 
 // The popularity of every expert changes at once. Without a budget the group
-// would load all its weights within minutes and delay the loads of all other
+// loads all its weights within minutes and delays the loads of all other
 // groups.
 TEST_CASE(
     "a change of all popularities stays within the hourly budget of loads") {
--- a/Tests/LibPlacement/TestSwitchPlan.cc
+++ b/Tests/LibPlacement/TestSwitchPlan.cc
@@ -52,8 +52,9 @@
 
 }  // namespace
 
-// Two copies at one rank queue on its link, and the whole group runs on its old
-// map until the second has arrived, 0.15 s after all others.
+// Guards against two copies at one rank: they queue on its link, and the whole
+// group runs on its old map until the second has arrived, 0.15 s after all
+// others.
 TEST_CASE("A switch adds at most one copy to each rank") {
   const SwitchPlan plan = PlanSwitch(
       RoundRobinLists(), DemandWith({0.3, 0.3, 0.3, 0.3, 0.3, 0.3}), kLimits);
@@ -64,8 +65,8 @@
   CHECK(plan.skew_after < plan.skew_before - 0.5);
 }
 
-// With one copy per rank a map stays uneven for many switches although copies
-// take hardly any time.
+// Guards against a map that stays uneven for many switches, each with one copy
+// per rank, although copies take hardly any time.
 TEST_CASE("A switch adds several copies where each takes little time") {
   CHECK(CopiesPerRank(std::chrono::milliseconds(400)) == 1);
   CHECK(CopiesPerRank(std::chrono::milliseconds(18)) > 1);
@@ -108,8 +109,8 @@
   }
 }
 
-// One slow rank among many must not reduce all sets to the few copies per
-// switch that a slow rank allows at least.
+// Guards against a limit of a few copies per set and switch as soon as one of
+// many ranks is slow.
 TEST_CASE("One slow rank does not reduce the copies for the others") {
   SwitchLimits limits = kLimits;
   limits.copies_per_rank = 6;
