--- a/Libraries/LibAdmission/ClassQueues.cc
+++ b/Libraries/LibAdmission/ClassQueues.cc
@@ -7,9 +7,9 @@
 
 namespace {
 
-// Rounds of the fixed point in WaitMicroseconds; each adds what arrives during
-// the wait that the round before found.
-constexpr int kRounds = 12;
+// Iterations of the fixed point in WaitMicroseconds. Each adds the arrivals
+// expected during the wait that the previous one found.
+constexpr int kMaxIterations = 12;
 
 }  // namespace
 
@@ -21,23 +21,25 @@
   return count;
 }
 
-void NoteTaken(ClassQueues& queues,
-               catalogue::ServiceClass service_class,
-               TimePoint now) {
-  const double elapsed = std::chrono::duration<double>(now - queues.taken_at) /
-                         std::chrono::duration<double>(kArrivalWindow);
-  for (double& count : queues.taken) {
+void RecordAdmitted(ClassQueues& queues,
+                    catalogue::ServiceClass service_class,
+                    TimePoint now) {
+  const double elapsed =
+      std::chrono::duration<double>(now - queues.decayed_at) /
+      std::chrono::duration<double>(kArrivalWindow);
+  for (double& count : queues.admitted) {
     count *= std::exp(-elapsed);
   }
-  queues.taken_at = now;
-  queues.taken[IndexOf(service_class)] += 1;
+  queues.decayed_at = now;
+  queues.admitted[IndexOf(service_class)] += 1;
 }
 
 void Push(ClassQueues& queues, const Request& request) {
   const size_t index = IndexOf(request.service_class);
   if (queues.waiting[index].empty()) {
-    // A class that was idle saves up no right to the next starts: else a
-    // night without batch would give batch every slot in the morning.
+    // An idle class must not accumulate a claim to the next starts: otherwise
+    // batch would take every slot in the morning after a night without batch
+    // requests.
     queues.pass[index] = std::max(queues.pass[index], queues.virtual_time);
   }
   queues.waiting[index].push_back(request);
@@ -81,17 +83,18 @@
   const double own_starts = static_cast<double>(position) + 1;
   const auto window = static_cast<double>(kArrivalWindow.count());
   double wait = 0;
-  for (int round = 0; round < kRounds; ++round) {
+  for (int iteration = 0; iteration < kMaxIterations; ++iteration) {
     double starts = own_starts;
     for (size_t index = 0; index < kClasses; ++index) {
       if (index == own) {
         continue;
       }
-      const double most =
+      const double max_starts =
           own_starts * queues.weights[index] / queues.weights[own];
-      const double there = static_cast<double>(queues.waiting[index].size()) +
-                           queues.taken[index] * wait / window;
-      starts += std::min(there, most);
+      const double competing =
+          static_cast<double>(queues.waiting[index].size()) +
+          queues.admitted[index] * wait / window;
+      starts += std::min(competing, max_starts);
     }
     const double next =
         std::max(0.0, starts - free_slots) * start_interval_microseconds;
--- a/Libraries/LibPlacement/Improve.cc
+++ b/Libraries/LibPlacement/Improve.cc
@@ -7,11 +7,11 @@
 
 namespace {
 
-// Ranks that are tried as the destination of a copy, the idlest first.
-constexpr size_t kDestinations = 6;
-// A search ends when its best change lowers the potential by less than this
-// part: such a change cannot be felt in a step.
-constexpr double kLeastReduction = 0.002;
+// Ranks tried as the destination of a copy, the least loaded first.
+constexpr size_t kDestinationsTried = 6;
+// The search ends when its best change lowers the potential by less than this
+// fraction; such a change has no visible effect on step time.
+constexpr double kMinReduction = 0.002;
 
 struct Search {
   const Shares& shares;
@@ -23,13 +23,13 @@
   std::vector<uint32_t> staged;
 };
 
-struct Choice {
+struct Candidate {
   Change change;
   double score = 0;
 };
 
-// The sum of the eighth powers: dominated by the slowest rank, yet lowered too
-// when one of several equally slow ranks improves.
+// Returns the sum of the eighth powers of the loads. The slowest rank dominates
+// it, yet it also falls when one of several equally slow ranks improves.
 double Potential(const std::vector<double>& loads) {
   double sum = 0;
   for (const double load : loads) {
@@ -56,10 +56,10 @@
   return search.staged[rank] < search.limits.staging_slots;
 }
 
-std::vector<Rank> FindIdlest(const std::vector<double>& loads) {
+std::vector<Rank> FindLeastLoaded(const std::vector<double>& loads) {
   std::vector<Rank> ranks(loads.size());
   std::iota(ranks.begin(), ranks.end(), 0);
-  const size_t count = std::min(kDestinations, ranks.size());
+  const size_t count = std::min(kDestinationsTried, ranks.size());
   std::partial_sort(
       ranks.begin(), ranks.begin() + static_cast<std::ptrdiff_t>(count),
       ranks.end(),
@@ -68,7 +68,8 @@
   return ranks;
 }
 
-// Adds `factor` times the load of each copy of an expert to its ranks.
+// Adds `factor` times the load of each copy of an expert to the ranks that hold
+// it.
 void AddLoadOf(Search& search, Expert expert, double factor) {
   const auto& ranks = search.layer.ranks_of[expert];
   const double load = factor * search.shares[expert] * search.shape.ranks /
@@ -101,14 +102,14 @@
   }
 }
 
-void Consider(Search& search, Choice& best, Change change) {
+void Consider(Search& search, Candidate& best, Change change) {
   const double before = Potential(search.loads);
   const std::vector<double> loads = search.loads;
   ApplyWithLoads(search, change);
   const double reduction = (before - Potential(search.loads)) / before;
   Apply(search.layer, {.loads = change.drops, .drops = change.loads});
   search.loads = loads;
-  if (reduction < kLeastReduction) {
+  if (reduction < kMinReduction) {
     return;
   }
   const double score = reduction / PriceInLoads(change, search.limits);
@@ -117,39 +118,40 @@
   }
 }
 
-// Tries to bring `expert` from the slowest rank onto another: as a further
-// copy, as a move, and in place of a spare copy that stands there.
+// Tries to load `expert` from the slowest rank onto another rank: as an
+// additional copy, as a move, in place of a spare copy held there, and as a
+// swap with an expert that has no other copy.
 void ConsiderDestination(Search& search,
-                         Choice& best,
+                         Candidate& best,
                          Expert expert,
                          Rank from,
                          Rank to) {
   const Copy load{expert, to};
-  const Copy left{expert, from};
+  const Copy source{expert, from};
   if (has_free_slot(search, to)) {
     Consider(search, best, {.loads = {load}, .drops = {}});
-    Consider(search, best, {.loads = {load}, .drops = {left}});
+    Consider(search, best, {.loads = {load}, .drops = {source}});
   }
   const std::vector<Expert> others = search.experts_on[to];
   for (const Expert other : others) {
-    const Copy victim{other, to};
+    const Copy displaced{other, to};
     if (is_spare(search, other)) {
-      Consider(search, best, {.loads = {load}, .drops = {victim}});
-      Consider(search, best, {.loads = {load}, .drops = {left, victim}});
+      Consider(search, best, {.loads = {load}, .drops = {displaced}});
+      Consider(search, best, {.loads = {load}, .drops = {source, displaced}});
     } else if (!is_on(search, other, from) && has_staging_room(search, from)) {
       Consider(search, best,
-               {.loads = {load, {other, from}}, .drops = {left, victim}});
+               {.loads = {load, {other, from}}, .drops = {source, displaced}});
     }
   }
 }
 
-Choice FindBestChange(Search& search) {
-  Choice best;
+Candidate FindBestChange(Search& search) {
+  Candidate best;
   const auto slowest = static_cast<Rank>(
       std::max_element(search.loads.begin(), search.loads.end()) -
       search.loads.begin());
   const std::vector<Expert> experts = search.experts_on[slowest];
-  for (const Rank to : FindIdlest(search.loads)) {
+  for (const Rank to : FindLeastLoaded(search.loads)) {
     if (to == slowest || !has_staging_room(search, to)) {
       continue;
     }
@@ -180,7 +182,8 @@
   for (const Copy& load : change.loads) {
     price += limits.recent.contains(load) ? limits.undo_price : 1;
   }
-  // Dropping costs no bytes, but what came lately was paid for and is lost.
+  // Dropping a copy transfers no bytes, but a recent copy was paid for and is
+  // lost.
   for (const Copy& drop : change.drops) {
     price += limits.recent.contains(drop) ? limits.undo_price : 0;
   }
@@ -215,10 +218,10 @@
   search.loads = RankLoads(search.layer, shares, shape.ranks);
   std::vector<Change> changes;
   size_t loaded = 0;
-  while (loaded < limits.most_loads) {
-    Choice best = FindBestChange(search);
+  while (loaded < limits.max_loads) {
+    Candidate best = FindBestChange(search);
     loaded += best.change.loads.size();
-    if (best.score <= 0 || loaded > limits.most_loads) {
+    if (best.score <= 0 || loaded > limits.max_loads) {
       break;
     }
     Commit(search, best.change);
--- a/Measurements/FakeTarget.h
+++ b/Measurements/FakeTarget.h
@@ -90,7 +90,7 @@
       return;
     }
     const auto verdict =
-        admission::Offer(this->admission, request, this->events.now());
+        admission::Decide(this->admission, request, this->events.now());
     if (verdict.verdict == admission::Verdict::kRefuse) {
       caller.on_refused(verdict.retry_after);
       return;
@@ -161,9 +161,9 @@
         admission::CachedTokens(this->cache, request.prefix);
     ++this->started;
     this->cache_hits += cached > 0;
-    admission::Remember(this->cache, request.prefix,
-                        std::min(request.prompt_tokens,
-                                 this->admission.settings.prefix_tokens));
+    admission::RecordPrefix(this->cache, request.prefix,
+                            std::min(request.prompt_tokens,
+                                     this->admission.settings.prefix_tokens));
     const bool is_slow = this->fault == Fault::kLimps || this->is_lying();
     const double pace = is_slow ? 10 : 1;
     const auto uncached = static_cast<double>(
@@ -198,7 +198,7 @@
     for (const uint64_t id : effects.start) {
       this->Run(id);
     }
-    for (const admission::GivenUp& given_up : effects.give_up) {
+    for (const admission::Refusal& given_up : effects.refuse) {
       const Caller caller = std::move(this->callers.at(given_up.id));
       this->callers.erase(given_up.id);
       this->requests.erase(given_up.id);
@@ -219,7 +219,7 @@
   EngineModel engine;
   std::mt19937_64 random;
   Fault fault = Fault::kNone;
-  admission::PrefixMemory cache;
+  admission::RecentPrefixes cache;
   std::map<uint64_t, Caller> callers;
   std::map<uint64_t, admission::Request> requests;
   std::vector<std::pair<admission::Request, Caller>> unread;
--- a/Services/bramleyspand/Agent/Admission.cc
+++ b/Services/bramleyspand/Agent/Admission.cc
@@ -29,7 +29,7 @@
 }
 
 void Obey(AgentState& state, const admission::Effects& effects) {
-  for (const admission::GivenUp& given_up : effects.give_up) {
+  for (const admission::Refusal& given_up : effects.refuse) {
     state.waiting.erase(given_up.id);
     RefuseUnstarted(state, given_up.id, given_up.retry_after);
   }
@@ -42,14 +42,14 @@
 
 void SubmitCall(AgentState& state, const wire::CallT& call, uint64_t forward) {
   const TimePoint now = EventLoop::Now();
-  const admission::Decision decision =
-      admission::Offer(state.admission,
-                       {.id = forward,
-                        .service_class = ClassOf(call.service_class),
-                        .deadline = now + Duration(call.remaining_microseconds),
-                        .prompt_tokens = call.prompt_tokens,
-                        .prefix = call.prefix},
-                       now);
+  const admission::Decision decision = admission::Decide(
+      state.admission,
+      {.id = forward,
+       .service_class = ClassOf(call.service_class),
+       .deadline = now + Duration(call.remaining_microseconds),
+       .prompt_tokens = call.prompt_tokens,
+       .prefix = call.prefix},
+      now);
   switch (decision.verdict) {
     case admission::Verdict::kStart:
       Forward(state, call, forward);
--- a/Services/bramleyspand/Rank/Leader.cc
+++ b/Services/bramleyspand/Rank/Leader.cc
@@ -100,7 +100,7 @@
                             {.ranks = this->state.own->size,
                              .sets = this->state.shape->sets,
                              .experts = this->state.shape->experts,
-                             .tellers = mapswitch::CountRepresented(
+                             .reporters = mapswitch::CountRepresented(
                                  this->state.tree(), this->state.own->rank)},
                             now));
 }
@@ -178,7 +178,7 @@
     }
     return is_expired;
   });
-  this->QueueSum(placement::TakeOverdue(this->choices, now));
+  this->QueueSum(placement::EmitIfOverdue(this->choices, now));
   if (now - this->sent_at > kLongestBundleInterval) {
     this->SendBundle(now);
   }
--- a/Services/bramleyspand/Rank/MapOwner.cc
+++ b/Services/bramleyspand/Rank/MapOwner.cc
@@ -67,15 +67,15 @@
 // Returns whether demand has shifted.
 bool Observe(RankState& state,
              const std::optional<placement::Choices>& sample) {
-  const uint64_t jumps = state.drift.jumps;
+  const uint64_t shifts = state.drift.shifts;
   if (sample) {
     placement::ObserveChoices(state.drift, *sample);
   }
-  if (state.drift.jumps == jumps) {
+  if (state.drift.shifts == shifts) {
     return false;
   }
   Log(LogLevel::kInfo, "map", "demand_jumped",
-      {{"jumps", std::to_string(state.drift.jumps)},
+      {{"jumps", std::to_string(state.drift.shifts)},
        {"step", std::to_string(state.choices.step)},
        {"remembered", std::to_string(state.drift.remembered.size())}});
   return true;
@@ -92,7 +92,7 @@
   const placement::ChoicesShape shape{.ranks = state.own->size,
                                       .sets = state.shape->sets,
                                       .experts = state.shape->experts,
-                                      .tellers = senders};
+                                      .reporters = senders};
   return Observe(state, placement::AddChoices(state.choices, chosen, shape,
                                               EventLoop::Now()));
 }
@@ -111,7 +111,7 @@
 bool is_outdated(const RankState& state) {
   const MapSwitch& map_switch = state.map_switch;
   if (!mapswitch::is_replaceable(map_switch) ||
-      state.drift.jumps == state.planned_at_shift ||
+      state.drift.shifts == state.planned_at_shift ||
       state.drift.present.size() != map_switch.desired_map.map.size()) {
     return false;
   }
@@ -125,7 +125,7 @@
   constexpr double kSameSkew = 0.03;
   const auto& last = state.rejected_plan;
   return last && last->map == state.own->map &&
-         last->jumps == state.drift.jumps &&
+         last->shifts == state.drift.shifts &&
          std::abs(last->skew - skew) < kSameSkew && last->gain < least_gain;
 }
 
@@ -135,7 +135,7 @@
   if (!map || state.drift.present.size() != map->size()) {
     return;
   }
-  const double least_gain = placement::LeastGainOfSwitch(
+  const double least_gain = placement::MinGainOfSwitch(
       state.map_switch.pass, state.rank_admission.settings.longest_pause);
   const double skew = placement::MeanSkew(*map, state.drift, PacesOf(state));
   telemetry::SetGauge(kSkew, {}, skew);
@@ -145,7 +145,7 @@
   placement::SwitchPlan plan = placement::PlanSwitch(
       *map, state.drift,
       {.ranks = state.own->size,
-       .places_per_rank = state.shape->places_per_rank,
+       .expert_slots_per_rank = state.shape->expert_slots_per_rank,
        .spare = state.shape->spare,
        .copies_per_rank = placement::CopiesPerRank(state.shape->copy),
        .paces = PacesOf(state)});
@@ -153,13 +153,13 @@
       plan.copies > 0 && plan.skew_before - plan.skew_after >= least_gain;
   if (!is_worthwhile && !is_forced) {
     state.rejected_plan = {.map = state.own->map,
-                           .jumps = state.drift.jumps,
+                           .shifts = state.drift.shifts,
                            .skew = skew,
                            .gain = plan.skew_before - plan.skew_after};
     return;
   }
   state.planned_skew = plan.skew_after;
-  state.planned_at_shift = state.drift.jumps;
+  state.planned_at_shift = state.drift.shifts;
   mapswitch::StartSwitch(state.map_switch, std::move(plan.lists), now);
   telemetry::Count(kMapSwitches, {});
   telemetry::Count(kExpertCopies, {}, plan.copies);
@@ -205,7 +205,7 @@
        {"skew", is_skew_known ? Rounded(placement::MeanSkew(*map, state.drift,
                                                             PacesOf(state)))
                               : "unknown"},
-       {"jumps", std::to_string(state.drift.jumps)}});
+       {"jumps", std::to_string(state.drift.shifts)}});
 }
 
 }  // namespace
@@ -297,7 +297,7 @@
   map_switch.pass_began = state.rank_admission.passes.empty()
                               ? TimePoint{}
                               : state.rank_admission.passes.back().at;
-  Observe(state, placement::TakeOverdue(state.choices, now));
+  Observe(state, placement::EmitIfOverdue(state.choices, now));
   mapswitch::Continue(map_switch, now);
   if (map_switch.phase != phase_before) {
     Log(LogLevel::kInfo, "map", "switch_phase",
--- a/Services/bramleyspand/Rank/RankRole.cc
+++ b/Services/bramleyspand/Rank/RankRole.cc
@@ -180,14 +180,14 @@
     }
     rank_state.own = std::move(status);
     rank_state.own_received_at = EventLoop::Now();
-    admission::NoteReport(rank_state.rank_admission,
-                          {.epoch = rank_state.own->epoch,
-                           .step = rank_state.own->step,
-                           .running = rank_state.own->running,
-                           .queued = rank_state.own->queued,
-                           .pace = rank_state.own->pace,
-                           .is_open = rank_state.own->is_open},
-                          rank_state.own_received_at);
+    admission::RecordReport(rank_state.rank_admission,
+                            {.epoch = rank_state.own->epoch,
+                             .step = rank_state.own->step,
+                             .running = rank_state.own->running,
+                             .queued = rank_state.own->queued,
+                             .pace = rank_state.own->pace,
+                             .is_open = rank_state.own->is_open},
+                            rank_state.own_received_at);
     rank_state.own->is_losing_orders =
         this->order_sender.has_lost_order(rank_state.own_received_at);
     if (rank_state.own_held.sets.empty() ||
@@ -241,13 +241,13 @@
     if (const auto* probe = body.AsPlaceProbe()) {
       this->SendOffer(from_ip, *probe);
     } else if (const auto* taken = body.AsPlaceTaken()) {
-      admission::TakenPlace reservation{.gateway = from_ip,
-                                        .number = taken->number};
+      admission::Reservation reservation{.gateway = from_ip,
+                                         .number = taken->number};
       if (taken->is_settled) {
-        admission::NoteSettled(this->state.rank_admission, reservation);
+        admission::RemoveReservation(this->state.rank_admission, reservation);
       } else {
-        admission::NoteTaken(this->state.rank_admission, std::move(reservation),
-                             EventLoop::Now());
+        admission::RecordReservation(this->state.rank_admission,
+                                     std::move(reservation), EventLoop::Now());
       }
     } else if (const auto* heartbeat = body.AsHeartbeat()) {
       this->HandleHeartbeat(*heartbeat, from_ip);
@@ -321,10 +321,10 @@
   void SendOffer(const std::string& gateway_ip,
                  const membership::wire::PlaceProbeT& probe) {
     const TimePoint now = EventLoop::Now();
-    const admission::PlaceOffer offer =
+    const admission::PermitOffer offer =
         admission::OfferOf(this->state.rank_admission, probe.is_late, now);
     if (offer.is_admitting) {
-      admission::NoteOffered(this->state.rank_admission, now);
+      admission::RecordOffer(this->state.rank_admission, now);
     }
     membership::wire::PlaceOfferT wire;
     wire.number = probe.number;
@@ -353,13 +353,13 @@
   }
 
   void HandleAdmissionSettings(const nlohmann::json& body) {
-    const admission::RankPlacesSettings usual;
+    const admission::RankAdmissionSettings usual;
     this->state.rank_admission.settings = {
         .slots = body.value("slots", usual.slots),
         .longest_pause = std::chrono::microseconds(
             body.value("longest_pause_us", usual.longest_pause.count())),
-        .least_pass = std::chrono::microseconds(
-            body.value("least_pass_us", usual.least_pass.count()))};
+        .min_pass = std::chrono::microseconds(
+            body.value("least_pass_us", usual.min_pass.count()))};
   }
 
   void RequestShape() {
@@ -388,7 +388,7 @@
           this->state.shape = MapShape{
               .sets = body.value("sets", 0U),
               .experts = body.value("experts", 0U),
-              .places_per_rank = body.value("places_per_rank", 0U),
+              .expert_slots_per_rank = body.value("places_per_rank", 0U),
               .spare = body.value("spare", 0U),
               .copy =
                   std::chrono::microseconds(body.value("copy_us", int64_t{0}))};
--- a/Services/bramleyspand/Rank/RankState.h
+++ b/Services/bramleyspand/Rank/RankState.h
@@ -8,12 +8,12 @@
 #include <string>
 #include <vector>
 
-#include "LibAdmission/RankPlaces.h"
+#include "LibAdmission/RankAdmission.h"
 #include "LibHTTP/DirectCall.h"
 #include "LibMapSwitch/Switch.h"
 #include "LibMapSwitch/Tree.h"
 #include "LibMembership/Members.h"
-#include "LibPlacement/Drift.h"
+#include "LibPlacement/DemandTracker.h"
 #include "LibPlacement/PassChoices.h"
 #include "LibPlacement/SwitchPlan.h"
 #include "Services/bramleyspand/PeerDatagrams.h"
@@ -26,7 +26,7 @@
 struct MapShape {
   uint32_t sets = 0;
   uint32_t experts = 0;
-  uint32_t places_per_rank = 0;
+  uint32_t expert_slots_per_rank = 0;
   // New experts that a rank can take in one set at a time.
   uint32_t spare = 0;
   // Time to copy one expert.
@@ -76,7 +76,7 @@
 // changed.
 struct RejectedPlan {
   mapswitch::Version map = 0;
-  uint64_t jumps = 0;
+  uint64_t shifts = 0;
   double skew = 0;
   double gain = 0;
 };
@@ -106,7 +106,7 @@
   std::map<uint32_t, ParentAgent> parents;
   // When the last message of this rank's leader was received.
   TimePoint leader_last_received;
-  admission::RankPlaces rank_admission;
+  admission::RankAdmission rank_admission;
   // The model servers of all ranks, as the owner last sent them.
   std::vector<Address> group_servers;
   // The same addresses, for a leader to forward.
@@ -116,7 +116,7 @@
   // Used by the owner only, the agent beside rank 0.
   mapswitch::MapSwitch map_switch;
   std::map<uint32_t, RankInfo> ranks;
-  placement::Drift drift;
+  placement::DemandTracker drift;
   // The skew that the switch in progress is planned to reach.
   double planned_skew = 1;
   // Number of demand shifts that had been seen when it was planned.
--- a/Tests/LibAdmission/TestAdmission.cc
+++ b/Tests/LibAdmission/TestAdmission.cc
@@ -23,7 +23,7 @@
   return {.id = id, .service_class = service_class, .deadline = now + allowed};
 }
 
-// An agent whose back end runs two requests of 400 ms at once.
+// An agent whose back end runs two requests of 400 ms concurrently.
 Admission MakeAdmission() {
   Admission admission;
   admission.settings.slots = 2;
@@ -36,32 +36,31 @@
 
 TEST_CASE("requests start while slots are free and wait after that") {
   Admission admission = MakeAdmission();
-  CHECK(Offer(admission, MakeRequest(1), kBegin).verdict == Verdict::kStart);
-  CHECK(Offer(admission, MakeRequest(2), kBegin).verdict == Verdict::kStart);
-  CHECK(Offer(admission, MakeRequest(3), kBegin).verdict == Verdict::kWait);
+  CHECK(Decide(admission, MakeRequest(1), kBegin).verdict == Verdict::kStart);
+  CHECK(Decide(admission, MakeRequest(2), kBegin).verdict == Verdict::kStart);
+  CHECK(Decide(admission, MakeRequest(3), kBegin).verdict == Verdict::kWait);
   const Effects effects = HandleEnd(admission, 1, true, kBegin);
   CHECK(effects.start == std::vector<uint64_t>{3});
 }
 
-// A member waits two seconds only to hear that nobody had time for the draft:
-// the queue was longer than the deadline from the start and the agent took the
-// request all the same.
+// Guards against admitting a request although the queue is longer than its
+// deadline from the start: its caller is refused only after a wait of 2 s.
 TEST_CASE("a request that cannot be answered in time is refused on arrival") {
   Admission admission = MakeAdmission();
   uint64_t id = 0;
   Decision decision;
   do {
-    decision = Offer(admission, MakeRequest(++id), kBegin);
+    decision = Decide(admission, MakeRequest(++id), kBegin);
   } while (decision.verdict != Verdict::kRefuse && id < 100);
-  // Two run; 200 ms a start let eight wait within 80% of two seconds.
+  // Two run; at one start per 200 ms eight can wait within 80% of 2 s.
   CHECK(id == 11);
   CHECK(decision.retry_after > Duration::zero());
-  const Decision next = Offer(admission, MakeRequest(12), kBegin);
+  const Decision next = Decide(admission, MakeRequest(12), kBegin);
   CHECK(next.retry_after > decision.retry_after);
 }
 
-// Timetable summaries of class batch never get their turn on the night before
-// term: interactive requests keep coming and always go first.
+// If interactive requests keep arriving and always go first, batch requests
+// never start.
 TEST_CASE("no class starves while more urgent ones keep coming") {
   ClassQueues queues;
   for (uint64_t id = 1; id <= 40; ++id) {
@@ -78,9 +77,9 @@
   CHECK(started[ServiceClass::kBatch] == 10);
 }
 
-// A morning's interactive requests wait behind a burst of batch: batch had not
-// asked for anything all night and had saved up its right to start.
-TEST_CASE("an idle class saves up no right to the next starts") {
+// Guards against a class that accumulates a claim to start while idle: after
+// hours without batch requests, interactive ones wait behind a burst of them.
+TEST_CASE("an idle class accumulates no claim to the next starts") {
   ClassQueues queues;
   for (uint64_t id = 1; id <= 100; ++id) {
     Push(queues, MakeRequest(id, ServiceClass::kInteractive));
@@ -97,37 +96,37 @@
   CHECK(batch <= 2);
 }
 
-// A caller hears "no" two seconds late: its request waited in the queue of an
-// engine that had frozen and that sent no event which would have told.
+// A frozen engine sends no event. Without a check on time, the caller of a
+// request that waits for it is refused 2 s late.
 TEST_CASE(
-    "what waits for a stalled back end is given up long before the "
-    "deadline") {
+    "a request that waits for a stalled back end is refused long before "
+    "its deadline") {
   Admission admission = MakeAdmission();
-  Offer(admission, MakeRequest(1), kBegin);
-  Offer(admission, MakeRequest(2), kBegin);
-  Offer(admission, MakeRequest(3, ServiceClass::kInteractive, seconds(4)),
-        kBegin);
+  Decide(admission, MakeRequest(1), kBegin);
+  Decide(admission, MakeRequest(2), kBegin);
+  Decide(admission, MakeRequest(3, ServiceClass::kInteractive, seconds(4)),
+         kBegin);
   TimePoint now = kBegin;
   Effects effects;
-  while (effects.give_up.empty() && now < kBegin + seconds(4)) {
+  while (effects.refuse.empty() && now < kBegin + seconds(4)) {
     now += kReviewInterval;
     effects = Review(admission, now);
   }
-  REQUIRE(effects.give_up.size() == 1);
-  CHECK(effects.give_up.front().id == 3);
+  REQUIRE(effects.refuse.size() == 1);
+  CHECK(effects.refuse.front().id == 3);
   CHECK(now - kBegin < milliseconds(2500));
-  CHECK(Offer(admission,
-              MakeRequest(4, ServiceClass::kInteractive, seconds(2), now), now)
+  CHECK(Decide(admission,
+               MakeRequest(4, ServiceClass::kInteractive, seconds(2), now), now)
             .verdict == Verdict::kRefuse);
 }
 
-// Drafts crawl on one target for minutes although its agent promises the old
-// pace: the mean over ended requests knows nothing of those that do not end.
-TEST_CASE("an engine that starts to limp shows before its requests end") {
+// A mean over ended requests ignores those that do not end, so an engine that
+// slows down keeps its good estimate for minutes.
+TEST_CASE("the estimate shows a slower engine before its requests end") {
   Admission admission = MakeAdmission();
   admission.settings.slots = 4;
   for (uint64_t id = 1; id <= 4; ++id) {
-    Offer(admission, MakeRequest(id), kBegin);
+    Decide(admission, MakeRequest(id), kBegin);
     HandleProgress(admission, id, kBegin);
   }
   const auto before = EstimateFor(admission, MakeRequest(9), kBegin);
@@ -137,48 +136,47 @@
   CHECK(after.first_token > 4 * before.first_token);
 }
 
-// Batch requests are told "no" after most of their deadline: the queue alone
-// promised them a place that interactive requests took as they came.
-TEST_CASE("an estimate counts what more urgent classes will take") {
+// Guards against an estimate from the queue alone. It promises batch requests
+// starts that later interactive requests take, and they are refused after most
+// of their deadline.
+TEST_CASE("an estimate includes the expected arrivals of more urgent classes") {
   ClassQueues quiet;
   ClassQueues busy;
   for (int i = 0; i < 20; ++i) {
-    NoteTaken(busy, ServiceClass::kInteractive, kBegin);
+    RecordAdmitted(busy, ServiceClass::kInteractive, kBegin);
   }
   constexpr double kInterval = 200'000;
-  const double alone =
+  const double quiet_wait =
       WaitMicroseconds(quiet, ServiceClass::kBatch, 4, 0, kInterval);
-  const double among =
+  const double busy_wait =
       WaitMicroseconds(busy, ServiceClass::kBatch, 4, 0, kInterval);
-  CHECK(among > 3 * alone);
+  CHECK(busy_wait > 3 * quiet_wait);
 }
 
-// A member's long contract is refused at once by a fleet that has nothing to
-// do: the fixed cost of a dozen short prompts was taken for a cost per token,
-// and a prompt a thousand times longer for one that takes a thousand times as
-// long.
-TEST_CASE("short prompts say nothing of the time that long ones take") {
+// Guards against taking the fixed cost of a dozen short prompts for a cost per
+// token: an idle back end then refuses a prompt a thousand times longer.
+TEST_CASE("prompts of one length imply no cost per token") {
   Admission admission = MakeAdmission();
   TimePoint now = kBegin;
   for (uint64_t id = 1; id <= 12; ++id) {
-    Request greeting =
+    Request short_request =
         MakeRequest(id, ServiceClass::kInteractive, seconds(2), now);
-    greeting.prompt_tokens = 16;
-    Offer(admission, greeting, now);
+    short_request.prompt_tokens = 16;
+    Decide(admission, short_request, now);
     now += milliseconds(160);
     HandleProgress(admission, id, now);
     HandleEnd(admission, id, true, now);
   }
-  Request contract =
+  Request long_request =
       MakeRequest(20, ServiceClass::kInteractive, seconds(2), now);
-  contract.prompt_tokens = 25'000;
-  CHECK(Offer(admission, contract, now).verdict == Verdict::kStart);
+  long_request.prompt_tokens = 25'000;
+  CHECK(Decide(admission, long_request, now).verdict == Verdict::kStart);
 }
 
-TEST_CASE("a cost per token that was seen is counted") {
+TEST_CASE("the cost per token is estimated from prompts of different lengths") {
   PrefillModel model;
   for (uint32_t tokens = 100; tokens <= 2000; tokens += 100) {
-    Learn(model, tokens, milliseconds(20 + tokens / 10));
+    AddSample(model, tokens, milliseconds(20 + tokens / 10));
   }
   CHECK(Predict(model, 10'000) > milliseconds(900));
   CHECK(Predict(model, 10'000) < milliseconds(1100));
@@ -188,58 +186,60 @@
 TEST_CASE("a withdrawn request never starts") {
   Admission admission = MakeAdmission();
   for (uint64_t id = 1; id <= 3; ++id) {
-    Offer(admission, MakeRequest(id), kBegin);
+    Decide(admission, MakeRequest(id), kBegin);
   }
   CHECK(Withdraw(admission, 3));
   CHECK_FALSE(Withdraw(admission, 1));
   CHECK(HandleEnd(admission, 1, true, kBegin).start.empty());
 }
 
-TEST_CASE("the prefix memory forgets what was not used for longest") {
-  PrefixMemory memory{.capacity = 2};
-  Remember(memory, 1, 10);
-  Remember(memory, 2, 20);
-  Remember(memory, 1, 15);
-  Remember(memory, 3, 30);
-  CHECK(CachedTokens(memory, 1) == 15);
-  CHECK(CachedTokens(memory, 2) == 0);
-  CHECK(CachedTokens(memory, 3) == 30);
+TEST_CASE("the least recently used prefix is removed") {
+  RecentPrefixes prefixes{.capacity = 2};
+  RecordPrefix(prefixes, 1, 10);
+  RecordPrefix(prefixes, 2, 20);
+  RecordPrefix(prefixes, 1, 15);
+  RecordPrefix(prefixes, 3, 30);
+  CHECK(CachedTokens(prefixes, 1) == 15);
+  CHECK(CachedTokens(prefixes, 2) == 0);
+  CHECK(CachedTokens(prefixes, 3) == 30);
 }
 
-TEST_CASE("property: every request gets one fate and slots are kept") {
-  tests::CheckProperty("one fate", [](const std::vector<uint8_t>& choices) {
+TEST_CASE(
+    "property: every request has one outcome and slots are not exceeded") {
+  tests::CheckProperty("one outcome", [](const std::vector<uint8_t>& choices) {
     Admission admission = MakeAdmission();
-    std::map<uint64_t, int> fates;
+    std::map<uint64_t, int> outcomes;
     TimePoint now = kBegin;
     uint64_t last = 0;
-    const auto obey = [&](const Effects& effects) {
+    const auto apply = [&](const Effects& effects) {
       for (const uint64_t id : effects.start) {
-        ++fates[id];
+        ++outcomes[id];
       }
-      for (const GivenUp& given_up : effects.give_up) {
-        ++fates[given_up.id];
+      for (const Refusal& refusal : effects.refuse) {
+        ++outcomes[refusal.id];
       }
     };
     for (const uint8_t choice : choices) {
       now += milliseconds(choice);
       if (choice % 3 == 0 && !admission.running.empty()) {
-        obey(HandleEnd(admission, admission.running.begin()->first, true, now));
+        apply(
+            HandleEnd(admission, admission.running.begin()->first, true, now));
         continue;
       }
       const uint64_t id = ++last;
       const auto decision =
-          Offer(admission,
-                MakeRequest(id, static_cast<ServiceClass>(choice % 3),
-                            seconds(1), now),
-                now);
-      fates[id] += decision.verdict != Verdict::kWait;
-      obey(Review(admission, now));
+          Decide(admission,
+                 MakeRequest(id, static_cast<ServiceClass>(choice % 3),
+                             seconds(1), now),
+                 now);
+      outcomes[id] += decision.verdict != Verdict::kWait;
+      apply(Review(admission, now));
       RC_ASSERT(admission.running.size() <= admission.settings.slots);
     }
-    obey(Review(admission, now + seconds(10)));
+    apply(Review(admission, now + seconds(10)));
     RC_ASSERT(CountWaiting(admission.queues) == 0);
     RC_ASSERT(std::ranges::all_of(
-        fates, [](const auto& item) { return item.second == 1; }));
+        outcomes, [](const auto& item) { return item.second == 1; }));
   });
 }
 
