--- a/Tests/platform/TestDocuments.cc
+++ b/Tests/platform/TestDocuments.cc
@@ -6,7 +6,8 @@
 
 namespace bramleyspan::users_platform {
 
-TEST_CASE("The desired state becomes routes, engines, tenants and limits") {
+TEST_CASE(
+    "A desired state is parsed into routes, engines, tenants and limits") {
   const auto table = ParseTable(R"({"version":7,"routes":[
     {"name":"r","host":"H.example","path_prefix":"/a/","route_kind":"streaming",
      "timeout_ms":8000,"target_latency_ms":500,"priority":1,"resumable":true,
@@ -26,13 +27,13 @@
   CHECK(table.value().limits.idle_timeout == std::chrono::seconds(5));
 }
 
-TEST_CASE("A desired state that cannot be read is a typed failure") {
+TEST_CASE("A malformed desired state is a typed error") {
   CHECK(ParseTable("[]").has_error());
   CHECK(ParseTable("{\"version\":\"x\"}").has_error());
   CHECK(ParseTable("{").error().code == ErrorCode::kMalformedDocument);
 }
 
-TEST_CASE("A record of a server names a target only if it is complete") {
+TEST_CASE("Only a complete record of a server is parsed into a target") {
   const std::string good =
       R"({"service":"s","address":"10.0.0.1:80","zone":"z","slots":6,)"
       R"("state":"ready"})";
@@ -51,7 +52,8 @@
   }
 }
 
-TEST_CASE("A rank's report is read, and an order names epoch and sequence") {
+TEST_CASE(
+    "A rank's report is parsed, and an order has its operation and epoch") {
   const auto make =
       PluginRegistry<mapswitch::MakeRankAdapter>::Instance().Find("kv");
   REQUIRE(make.has_value());
