--- a/Libraries/LibGateway/Offers.cc
+++ b/Libraries/LibGateway/Offers.cc
@@ -38,7 +38,7 @@
     TimePoint now) {
   std::map<std::string, std::vector<const TargetView*>> groups;
   ForEachUsable(targets, service, excluded, [&](const TargetView& view) {
-    const bool is_silent = view.rank && now - view.rank->heard > kSilent;
+    const bool is_silent = view.rank && now - view.rank->received_at > kSilent;
     if (!is_silent && view.avoided_until <= now) {
       groups[view.rank ? view.rank->group : ""].push_back(&view);
     }
--- a/Libraries/LibGateway/Targets.h
+++ b/Libraries/LibGateway/Targets.h
@@ -38,7 +38,7 @@
   double pace = 1;
   // The agent that told this; it can be asked for a place.
   std::string agent_ip;
-  TimePoint heard;
+  TimePoint received_at;
 };
 
 struct TargetView {
--- a/Libraries/LibMembership/Gossip.h
+++ b/Libraries/LibMembership/Gossip.h
@@ -1,6 +1,7 @@
-// Whom a gateway tells what of the others. In a small fleet each tells all; in
-// a large one each tells a few, its own zone mostly, and passes on signs of
-// life, so that what a member costs does not grow with the square of them.
+// Chooses the receivers and the contents of a gateway's heartbeats. In a small
+// fleet each gateway sends to all others. In a large one it sends to a few,
+// mostly in its own zone, and adds 8-byte digests of all live gateways, so that
+// the bytes per gateway do not grow with the square of the fleet.
 #pragma once
 
 #include <cstdint>
@@ -11,47 +12,53 @@
 
 namespace bramleyspan::membership {
 
-// Up to so many gateways are told each time.
-inline constexpr size_t kAllPeers = 12;
+// Up to this many other gateways, each heartbeat is sent to all of them.
+inline constexpr size_t kMaxFullMeshPeers = 12;
 
-// Beyond, so many in the own zone and elsewhere.
-inline constexpr size_t kNearPeers = 3;
-inline constexpr size_t kFarPeers = 1;
+// Receivers of a heartbeat in a larger fleet: in the own zone, and in others.
+inline constexpr size_t kSameZonePeers = 3;
+inline constexpr size_t kOtherZonePeers = 1;
 
-// Records told in one heartbeat besides the sender's own.
-inline constexpr size_t kMembersPerHeartbeat = 1;
-inline constexpr size_t kMembersPerHeartbeatOfMany = 2;
+// Records in one heartbeat besides the sender's own.
+inline constexpr size_t kRecordsPerHeartbeat = 1;
+inline constexpr size_t kRecordsPerHeartbeatInLargeFleet = 2;
 
-// Whether the others are too many to tell all of them.
+// Whether there are too many other gateways to send each heartbeat to all.
 bool is_large(const Members& members);
 
-// The gateways' IP numbers to send the next heartbeat to. Each gateway tells
-// the others in an order of its own, and each in its turn.
+// Returns the IP addresses of the gateways that heartbeat number `round` goes
+// to. In a large fleet each gateway goes through the others in turn, in an
+// order of its own.
 std::vector<std::string> PeersForHeartbeat(const Members& members,
-                                           uint64_t turn);
+                                           uint64_t round);
 
-// The records to tell next: those with news first, then each in its turn.
-std::vector<const wire::MemberT*> NextToTell(Members& members, TimePoint now);
+// Returns the records of live gateways that the next heartbeat carries, and
+// counts them as sent. Changed records come first, then all in turn.
+std::vector<const wire::MemberT*> RecordsToSend(Members& members,
+                                                TimePoint now);
 
-// The signs of life of all that live; none where each tells all itself.
-std::vector<wire::SignOfLife> SignsToTell(const Members& members,
-                                          TimePoint now);
+// Returns the digests of all other live gateways; none in a small fleet, where
+// each gateway sends its own record to all others.
+std::vector<wire::SignOfLife> DigestsToSend(const Members& members,
+                                            TimePoint now);
 
-// Takes the signs of life of a heartbeat. Returns the keys to ask its sender
-// about; no more than fit a datagram with their records.
-std::vector<uint32_t> TakeSigns(Members& members,
-                                const std::vector<wire::SignOfLife>& signs,
-                                TimePoint now);
+// Merges the digests of a heartbeat. Returns the keys of unknown records, which
+// are to be requested from its sender; at most as many as fit into a datagram
+// with their records.
+std::vector<uint32_t> ApplyDigests(Members& members,
+                                   const std::vector<wire::SignOfLife>& digests,
+                                   TimePoint now);
 
-// The records that were asked about.
+// Returns the known records with these keys; at most as many as fit into a
+// datagram.
 std::vector<const wire::MemberT*> FindByKeys(const Members& members,
                                              const std::vector<uint32_t>& keys);
 
-// The next gateways to speak of to an agent, so that each is spoken of in its
-// turn.
-std::vector<const wire::MemberT*> MembersToTell(const Members& members,
-                                                uint64_t turn,
-                                                size_t most,
-                                                TimePoint now);
+// Returns up to `max_count` live gateways whose records are sent to an agent.
+// Successive rounds go through all of them in turn.
+std::vector<const wire::MemberT*> GatewaysForAgent(const Members& members,
+                                                   uint64_t round,
+                                                   size_t max_count,
+                                                   TimePoint now);
 
 }  // namespace bramleyspan::membership
--- a/Libraries/LibMembership/Members.cc
+++ b/Libraries/LibMembership/Members.cc
@@ -20,68 +20,69 @@
           builder.GetSize()};
 }
 
-bool is_news(const wire::MemberT& record, const wire::MemberT& known) {
+bool has_changed(const wire::MemberT& record, const wire::MemberT& known) {
   return record.incarnation != known.incarnation ||
          record.is_ready != known.is_ready ||
          record.is_leaving != known.is_leaving || record.ip != known.ip ||
          record.caller_address != known.caller_address;
 }
 
-// Told of before all others for a while, but not until it was told of as often
-// as those that were known for long.
-uint64_t ToldOfNews(const Members& members) {
-  constexpr uint64_t kTimesBeforeOthers = 8;
+// Returns the count of sends at which a changed record starts: a little below
+// the lowest of all, so that it is sent ahead of the others for a while. From 0
+// it would be, until it had caught up with records that are known for long.
+uint64_t InitialTimesSent(const Members& members) {
+  constexpr uint64_t kTimesBeforeUnchanged = 8;
   uint64_t least = UINT64_MAX;
   for (const auto& [name, known] : members.known) {
-    least = std::min(least, known.told);
+    least = std::min(least, known.times_sent);
   }
-  return least == UINT64_MAX || least < kTimesBeforeOthers
+  return least == UINT64_MAX || least < kTimesBeforeUnchanged
              ? 0
-             : least - kTimesBeforeOthers;
+             : least - kTimesBeforeUnchanged;
 }
 
-// Signs of an earlier incarnation say nothing of the present one.
-void ForgetKeys(Members& members, const std::string& name) {
-  std::erase_if(members.names,
+// Digests of an earlier incarnation must not count as updates of this one.
+void RemoveKeys(Members& members, const std::string& name) {
+  std::erase_if(members.names_by_key,
                 [&name](const auto& item) { return item.second == name; });
 }
 
-void Take(Members& members,
-          KnownMember& known,
-          const wire::MemberT& record,
-          TimePoint now) {
-  if (is_news(record, known.member)) {
-    known.told = ToldOfNews(members);
+void ApplyRecord(Members& members,
+                 KnownMember& known,
+                 const wire::MemberT& record,
+                 TimePoint now) {
+  if (has_changed(record, known.member)) {
+    known.times_sent = InitialTimesSent(members);
   }
   if (record.incarnation != known.member.incarnation) {
-    ForgetKeys(members, record.name);
+    RemoveKeys(members, record.name);
   }
-  known.key = KeyOf(record);
-  members.names[known.key] = record.name;
+  known.key = DigestKeyOf(record);
+  members.names_by_key[known.key] = record.name;
   const uint64_t counter =
       record.incarnation == known.member.incarnation ? known.member.counter : 0;
   known.member = record;
   known.member.counter = std::max(record.counter, counter);
-  known.heard = now;
+  known.received_at = now;
 }
 
 }  // namespace
 
-uint32_t KeyOf(const wire::MemberT& member) {
+uint32_t DigestKeyOf(const wire::MemberT& member) {
   constexpr uint64_t kSpread = 0x9E3779B97F4A7C15;
   return static_cast<uint32_t>(
       XXH64(member.name.data(), member.name.size(),
             member.incarnation ^ (member.changed * kSpread)));
 }
 
-void Stamp(Members& members, wire::MemberT& self) {
+void AdvanceOwnRecord(Members& members, wire::MemberT& self) {
   self.counter = members.own.counter + 1;
   self.changed =
-      is_news(self, members.own) ? self.counter : members.own.changed;
+      has_changed(self, members.own) ? self.counter : members.own.changed;
   members.own = self;
 }
 
-bool Learn(Members& members,
+bool Merge(Members& members,
            const wire::MemberT& record,
            bool is_direct,
            TimePoint now) {
@@ -90,68 +91,69 @@
   }
   const auto found = members.known.find(record.name);
   if (found == members.known.end()) {
-    Take(members, members.known[record.name], record, now);
-    members.hints.erase(record.ip);
+    ApplyRecord(members, members.known[record.name], record, now);
+    members.seed_addresses.erase(record.ip);
     return true;
   }
   KnownMember& known = found->second;
   const bool is_same = known.member.incarnation == record.incarnation;
-  // A sign of life may have come before the record whose change it tells.
+  // A digest with a newer counter may have come before the record whose change
+  // it announces.
   const bool is_newer = is_same && (record.counter > known.member.counter ||
                                     record.changed > known.member.changed);
-  // Two incarnations cannot be ordered by their clocks, which jump. The process
-  // itself speaks for its latest one; by hearsay a new one counts only once the
-  // old one has fallen silent.
+  // Two incarnations cannot be ordered by clocks, which may be set back. A
+  // direct record is of the latest one; an indirect record of another
+  // incarnation is accepted only once the known one counts as dead.
   const bool is_replacement =
-      !is_same && (is_direct || now - known.heard > kSuspectAfter);
+      !is_same && (is_direct || now - known.received_at > kSuspectAfter);
   if (!is_newer && !is_replacement) {
     return false;
   }
-  Take(members, known, record, now);
+  ApplyRecord(members, known, record, now);
   return true;
 }
 
-bool Learn(Members& members, const wire::SignOfLife& sign, TimePoint now) {
-  const auto name = members.names.find(sign.key());
-  if (name == members.names.end()) {
+bool Merge(Members& members, const wire::SignOfLife& digest, TimePoint now) {
+  const auto name = members.names_by_key.find(digest.key());
+  if (name == members.names_by_key.end()) {
     return false;
   }
   KnownMember& known = members.known.at(name->second);
-  if (sign.counter() > known.member.counter) {
-    known.member.counter = sign.counter();
-    known.heard = now;
+  if (digest.counter() > known.member.counter) {
+    known.member.counter = digest.counter();
+    known.received_at = now;
   }
   return true;
 }
 
-void AddHint(Members& members, const std::string& ip, TimePoint now) {
+void AddSeedAddress(Members& members, const std::string& ip, TimePoint now) {
   const bool is_known = std::any_of(
       members.known.begin(), members.known.end(),
       [&ip](const auto& item) { return item.second.member.ip == ip; });
   if (!is_known) {
-    members.hints[ip] = now;
+    members.seed_addresses[ip] = now;
   }
 }
 
-void Forget(Members& members, TimePoint now) {
+void RemoveExpired(Members& members, TimePoint now) {
   std::erase_if(members.known, [&members, now](const auto& item) {
-    const bool is_forgotten = now - item.second.heard > kForgetAfter;
-    if (is_forgotten) {
-      ForgetKeys(members, item.first);
+    const bool is_expired = now - item.second.received_at > kRemoveAfter;
+    if (is_expired) {
+      RemoveKeys(members, item.first);
     }
-    return is_forgotten;
+    return is_expired;
   });
-  std::erase_if(members.hints, [now](const auto& item) {
-    return now - item.second > kForgetAfter;
+  std::erase_if(members.seed_addresses, [now](const auto& item) {
+    return now - item.second > kRemoveAfter;
   });
 }
 
 bool is_alive(const KnownMember& known, TimePoint now) {
-  return now - known.heard <= kSuspectAfter;
+  return now - known.received_at <= kSuspectAfter;
 }
 
-std::vector<const KnownMember*> LiveEntries(const Members& members,
-                                            TimePoint now) {
+std::vector<const KnownMember*> LiveGateways(const Members& members,
+                                             TimePoint now) {
   std::vector<const KnownMember*> live;
   for (const auto& [name, known] : members.known) {
     if (known.member.is_entry && known.member.is_ready &&
@@ -162,44 +164,45 @@
   return live;
 }
 
-size_t CountEntries(const Members& members, TimePoint now) {
-  static constexpr Duration kMayBeAtWork = std::chrono::seconds(10);
-  return 1 + static_cast<size_t>(
-                 std::count_if(members.known.begin(), members.known.end(),
-                               [now](const auto& item) {
-                                 return item.second.member.is_entry &&
-                                        now - item.second.heard <= kMayBeAtWork;
-                               }));
+size_t CountGateways(const Members& members, TimePoint now) {
+  static constexpr Duration kMayBeRunning = std::chrono::seconds(10);
+  return 1 + static_cast<size_t>(std::count_if(
+                 members.known.begin(), members.known.end(),
+                 [now](const auto& item) {
+                   return item.second.member.is_entry &&
+                          now - item.second.received_at <= kMayBeRunning;
+                 }));
 }
 
-bool is_close_watcher(const Members& members,
-                      uint64_t own_incarnation,
-                      TimePoint now) {
-  const std::vector<const KnownMember*> live = LiveEntries(members, now);
-  size_t before = 0;
-  size_t before_that_hear = 0;
+bool is_active_watcher(const Members& members,
+                       uint64_t own_incarnation,
+                       TimePoint now) {
+  const std::vector<const KnownMember*> live = LiveGateways(members, now);
+  size_t ahead = 0;
+  size_t ahead_that_reach_store = 0;
   for (const KnownMember* other : live) {
     if (other->member.incarnation < own_incarnation) {
-      ++before;
-      before_that_hear += other->member.hears_store ? 1 : 0;
+      ++ahead;
+      ahead_that_reach_store += other->member.hears_store ? 1 : 0;
     }
   }
-  const size_t watchers =
-      kCloseWatchers + live.size() / kEntriesPerCloseWatcher;
-  const bool is_relief = members.own.hears_store && before_that_hear < watchers;
-  return before < watchers || is_relief;
+  const size_t active_watchers =
+      kActiveWatchers + live.size() / kGatewaysPerActiveWatcher;
+  const bool is_substitute =
+      members.own.hears_store && ahead_that_reach_store < active_watchers;
+  return ahead < active_watchers || is_substitute;
 }
 
 std::string Encode(wire::HeartbeatT heartbeat) {
   return EncodeBody(std::move(heartbeat));
 }
 
-std::string Encode(wire::RankNewsT news) {
-  return EncodeBody(std::move(news));
+std::string Encode(wire::RankNewsT update) {
+  return EncodeBody(std::move(update));
 }
 
-std::string Encode(wire::MapWishT wish) {
-  return EncodeBody(std::move(wish));
+std::string Encode(wire::MapWishT desired_map) {
+  return EncodeBody(std::move(desired_map));
 }
 
 std::string Encode(const wire::PlaceProbeT& probe) {
@@ -210,8 +213,8 @@
   return EncodeBody(std::move(offer));
 }
 
-std::string Encode(const wire::PlaceTakenT& taken) {
-  return EncodeBody(taken);
+std::string Encode(const wire::PlaceTakenT& reservation) {
+  return EncodeBody(reservation);
 }
 
 std::string Encode(wire::GroupSummaryT summary) {
--- a/Libraries/LibMembership/Members.h
+++ b/Libraries/LibMembership/Members.h
@@ -1,6 +1,7 @@
-// Who else runs: each process tells a few others what it knows of itself and
-// of those it heard of, several times a second. No member decides about
-// another; each judges by how long ago it heard something new.
+// Membership by gossip. Several times a second each process sends its own
+// record and some records of other members to a few peers. There is no vote on
+// whether a member is alive: each process decides for itself by the time since
+// the last update of that member's record.
 #pragma once
 
 #include <cstdint>
@@ -16,92 +17,103 @@
 
 namespace bramleyspan::membership {
 
-// A process's own heartbeats are this far apart.
+// Interval between two heartbeats of a process.
 inline constexpr Duration kHeartbeatInterval = std::chrono::milliseconds(200);
 
-// A member that was not heard of for so long is not named to callers.
+// A member without an update for this long counts as dead and is not listed to
+// callers.
 inline constexpr Duration kSuspectAfter = std::chrono::milliseconds(1300);
 
-// A member that was not heard of for so long is forgotten.
-inline constexpr Duration kForgetAfter = std::chrono::seconds(30);
+// A member without an update for this long is removed.
+inline constexpr Duration kRemoveAfter = std::chrono::seconds(30);
 
-// What is known of another process.
+// The local view of another process.
 struct KnownMember {
   wire::MemberT member;
-  // When something new of it was last heard, by any way.
-  TimePoint heard;
-  // Names this state of the record in signs of life.
+  // When the last update was received, from the member or through others.
+  TimePoint received_at;
+  // Identifies this state of the record in member digests.
   uint32_t key = 0;
-  // How often it was told of since it had news.
-  uint64_t told = 0;
+  // How often the record was sent. Lowered when the record changes, so that it
+  // is sent ahead of unchanged ones.
+  uint64_t times_sent = 0;
 };
 
 struct Members {
   std::string own_name;
   std::string own_zone;
-  // What was last told of itself.
+  // The own record as it was last sent.
   wire::MemberT own;
   std::map<std::string, KnownMember> known;
-  // Names by the keys of signs of life, those of earlier states among them.
-  std::unordered_map<uint32_t, std::string> names;
-  // Addresses from settings or the store of processes not heard of yet.
-  std::map<std::string, TimePoint> hints;
+  // Member names by digest key, with the keys of earlier states of a record.
+  std::unordered_map<uint32_t, std::string> names_by_key;
+  // Addresses from settings or the store at which no member is known yet, with
+  // the time when each was last added.
+  std::map<std::string, TimePoint> seed_addresses;
 };
 
-// What signs of life call this state of the member's record.
-uint32_t KeyOf(const wire::MemberT& member);
+// Returns the key that identifies this state of the record in member digests: a
+// hash of the name, the incarnation and the counter of the last change.
+uint32_t DigestKeyOf(const wire::MemberT& member);
 
-// Counts what is about to be told of itself.
-void Stamp(Members& members, wire::MemberT& self);
+// Advances the counter of the own record, which is about to be sent, and marks
+// the record as changed if it differs from the one sent before.
+void AdvanceOwnRecord(Members& members, wire::MemberT& self);
 
-// Takes a record of another process. `is_direct` if it came from that process
-// itself: such a record replaces that of an earlier incarnation, while one by
-// hearsay may be older than what is known. Returns whether it told anything
-// new.
-bool Learn(Members& members,
+// Merges the record of another process. Returns whether it was an update.
+// `is_direct` says that the process itself sent it: such a record replaces that
+// of another incarnation at once. An indirect one may be older than the known
+// record, so it does so only once the known incarnation counts as dead.
+bool Merge(Members& members,
            const wire::MemberT& record,
            bool is_direct,
            TimePoint now);
 
-// Takes a sign of life. Returns whether the member's record is known; of any
-// other it tells nothing.
-bool Learn(Members& members, const wire::SignOfLife& sign, TimePoint now);
+// Merges a member digest. Returns whether the record with its key is known; the
+// digest of an unknown record changes nothing.
+bool Merge(Members& members, const wire::SignOfLife& digest, TimePoint now);
 
-// Takes an address at which a process may run, unless one is known there.
-void AddHint(Members& members, const std::string& ip, TimePoint now);
+// Adds an address at which a process may run, unless a known member has it.
+void AddSeedAddress(Members& members, const std::string& ip, TimePoint now);
 
-// Drops what was not heard of for long.
-void Forget(Members& members, TimePoint now);
+// Removes members without an update for kRemoveAfter, and seed addresses that
+// were not added again for as long.
+void RemoveExpired(Members& members, TimePoint now);
 
+// Whether the last update of the member is no older than kSuspectAfter.
 bool is_alive(const KnownMember& known, TimePoint now);
 
-// Entries that are alive, ready and not leaving, itself not among them.
-std::vector<const KnownMember*> LiveEntries(const Members& members,
-                                            TimePoint now);
-
-// The largest number of entries that may be at work, itself among them.
-size_t CountEntries(const Members& members, TimePoint now);
-
-// Entries that ask the store often enough to notice soon if it falls silent,
-// and one more for each so many others: the store may turn some of them away.
-// The others hear from them; the store's calls are paid for.
-inline constexpr size_t kCloseWatchers = 3;
-inline constexpr size_t kEntriesPerCloseWatcher = 12;
-
-// Whether an entry of this incarnation is one of them. It judges by those that
-// it hears: one that hears nobody always is. Where the store turns some of them
-// away others join them until it answers again.
-bool is_close_watcher(const Members& members,
-                      uint64_t own_incarnation,
-                      TimePoint now);
+// Returns the other gateways that are alive, ready and not leaving.
+std::vector<const KnownMember*> LiveGateways(const Members& members,
+                                             TimePoint now);
+
+// Returns how many gateways may be running at most, this process included: a
+// gateway counts for ten seconds after its last update.
+size_t CountGateways(const Members& members, TimePoint now);
+
+// Active watchers are gateways that watch the store with short waits, so that
+// they notice soon when it stops responding. The other gateways receive changes
+// from them, since each call to the store is paid for. There are
+// kActiveWatchers, and one more per kGatewaysPerActiveWatcher live gateways,
+// since the store may refuse some of them.
+inline constexpr size_t kActiveWatchers = 3;
+inline constexpr size_t kGatewaysPerActiveWatcher = 12;
+
+// Whether the gateway with this incarnation is an active watcher by the local
+// view: those with the smallest incarnations are, so a gateway that sees no
+// other always is one. While some of them get no answer from the store, others
+// that do get answers join them.
+bool is_active_watcher(const Members& members,
+                       uint64_t own_incarnation,
+                       TimePoint now);
 
 // Serializes a message.
 std::string Encode(wire::HeartbeatT heartbeat);
-std::string Encode(wire::RankNewsT news);
-std::string Encode(wire::MapWishT wish);
+std::string Encode(wire::RankNewsT update);
+std::string Encode(wire::MapWishT desired_map);
 std::string Encode(const wire::PlaceProbeT& probe);
 std::string Encode(wire::PlaceOfferT offer);
-std::string Encode(const wire::PlaceTakenT& taken);
+std::string Encode(const wire::PlaceTakenT& reservation);
 std::string Encode(wire::GroupSummaryT summary);
 std::string Encode(wire::NewsBundleT bundle);
 std::string Encode(wire::MemberQueryT query);
--- a/Libraries/LibPlatform/Backoff.cc
+++ b/Libraries/LibPlatform/Backoff.cc
@@ -6,16 +6,15 @@
 
 namespace {
 
-constexpr Duration kFirstDelay = std::chrono::milliseconds(250);
-constexpr uint32_t kMostDoublings = 4;
+constexpr Duration kInitialDelay = std::chrono::milliseconds(250);
+constexpr uint32_t kMaxDoublings = 4;
 
 }  // namespace
 
 Duration BackoffDelay(uint32_t attempt, uint64_t random_bits) {
-  const uint32_t doublings =
-      std::min(std::max(attempt, 1U) - 1, kMostDoublings);
-  const Duration longest = kFirstDelay * (1 << doublings);
-  const Duration half = longest / 2;
+  const uint32_t doublings = std::min(std::max(attempt, 1U) - 1, kMaxDoublings);
+  const Duration max_delay = kInitialDelay * (1 << doublings);
+  const Duration half = max_delay / 2;
   return half + Duration(random_bits % static_cast<uint64_t>(half.count()));
 }
 
--- a/Libraries/LibPlatform/Backoff.h
+++ b/Libraries/LibPlatform/Backoff.h
@@ -1,4 +1,4 @@
-// How long to wait before a call to the platform is tried again.
+// Backoff between retries of a call to the platform.
 #pragma once
 
 #include <cstdint>
@@ -7,10 +7,10 @@
 
 namespace bramleyspan::platform {
 
-// The delay before retry number `attempt` (from 1): it doubles from a quarter
-// of a second to at most four seconds, and `random_bits` place it in the upper
-// half of that. Without the jitter all entries would return at one moment to a
-// service that has just come back.
+// Returns the delay before retry number `attempt` (from 1): it doubles from 250
+// milliseconds to at most 4 seconds, and `random_bits` place it in the upper
+// half of that. Without this jitter all processes would call a service that has
+// just recovered at the same moments.
 Duration BackoffDelay(uint32_t attempt, uint64_t random_bits);
 
 }  // namespace bramleyspan::platform
--- a/Libraries/LibPlatform/CountedStore.cc
+++ b/Libraries/LibPlatform/CountedStore.cc
@@ -31,11 +31,11 @@
 template <typename Value>
 using OnDone = std::function<void(Result<Value>)>;
 
-// Reports a call's end, then hands the result on.
+// Wraps `on_done` so that the end of the call is reported first.
 template <typename Value>
-OnDone<Value> Noted(std::string_view call,
-                    const OnStoreCall& on_call,
-                    OnDone<Value> on_done) {
+OnDone<Value> WithReport(std::string_view call,
+                         const OnStoreCall& on_call,
+                         OnDone<Value> on_done) {
   return [call, on_call, began = EventLoop::Now(),
           on_done = std::move(on_done)](Result<Value> result) {
     on_call(call, OutcomeOf(result), EventLoop::Now() - began);
@@ -48,25 +48,30 @@
 Store CountCalls(const Store& store, const OnStoreCall& on_call) {
   Store counted;
   counted.range = [store, on_call](RangeCall call, OnDone<RangePage> on_done) {
-    store.range(std::move(call), Noted("range", on_call, std::move(on_done)));
+    store.range(std::move(call),
+                WithReport("range", on_call, std::move(on_done)));
   };
   counted.watch = [store, on_call](WatchCall call,
                                    OnDone<WatchAnswer> on_done) {
-    store.watch(std::move(call), Noted("watch", on_call, std::move(on_done)));
+    store.watch(std::move(call),
+                WithReport("watch", on_call, std::move(on_done)));
   };
   counted.put = [store, on_call](PutCall call, OnDone<uint64_t> on_done) {
-    store.put(std::move(call), Noted("put", on_call, std::move(on_done)));
+    store.put(std::move(call), WithReport("put", on_call, std::move(on_done)));
   };
   counted.remove = [store, on_call](std::vector<std::string> keys,
                                     OnDone<void> on_done) {
-    store.remove(std::move(keys), Noted("remove", on_call, std::move(on_done)));
+    store.remove(std::move(keys),
+                 WithReport("remove", on_call, std::move(on_done)));
   };
   counted.grant_lease = [store, on_call](Duration ttl,
                                          OnDone<uint64_t> on_done) {
-    store.grant_lease(ttl, Noted("grant_lease", on_call, std::move(on_done)));
+    store.grant_lease(ttl,
+                      WithReport("grant_lease", on_call, std::move(on_done)));
   };
   counted.renew_lease = [store, on_call](uint64_t lease, OnDone<void> on_done) {
-    store.renew_lease(lease, Noted("renew_lease", on_call, std::move(on_done)));
+    store.renew_lease(lease,
+                      WithReport("renew_lease", on_call, std::move(on_done)));
   };
   return counted;
 }
--- a/Libraries/LibPlatform/CountedStore.h
+++ b/Libraries/LibPlatform/CountedStore.h
@@ -1,5 +1,5 @@
-// A store whose calls are counted: each is paid for, and an outage shows in
-// their outcomes first.
+// A store that reports its calls for metrics. Each call is paid for, and an
+// outage of the store shows first in their outcomes.
 #pragma once
 
 #include <functional>
@@ -9,11 +9,12 @@
 
 namespace bramleyspan::platform {
 
-// Hears of each call as it ends: its name, how it ended and how long it took.
+// Called at the end of each call, with the call's name, its outcome and its
+// duration.
 using OnStoreCall = std::function<
     void(std::string_view call, std::string_view outcome, Duration took)>;
 
-// The same store, counted.
+// Returns the same store with each call reported to `on_call`.
 Store CountCalls(const Store& store, const OnStoreCall& on_call);
 
 }  // namespace bramleyspan::platform
--- a/Libraries/LibPlatform/KeyValueClient.cc
+++ b/Libraries/LibPlatform/KeyValueClient.cc
@@ -11,7 +11,7 @@
 
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
-// A watch is answered late by up to a sixteenth of its wait.
+// The service answers a watch late by up to a sixteenth of its wait.
 constexpr auto kWatchSlack = std::chrono::seconds(1);
 
 std::string PathOf(const std::string& key) {
@@ -58,10 +58,10 @@
       });
 }
 
-void KeyValueClient::Swap(const std::string& key,
-                          const std::string& text,
-                          uint64_t expected,
-                          std::function<void(Result<bool>)> on_done) {
+void KeyValueClient::CompareAndSwap(const std::string& key,
+                                    const std::string& text,
+                                    uint64_t expected,
+                                    std::function<void(Result<bool>)> on_done) {
   ++this->calls;
   http::ClientRequest request{
       .target = this->settings.address,
--- a/Libraries/LibPlatform/KeyValueClient.h
+++ b/Libraries/LibPlatform/KeyValueClient.h
@@ -1,5 +1,5 @@
-// The platform's key-value service over the HTTP API published for Consul's
-// KV store: reads, blocking reads and compare-and-swap.
+// Client of the platform's key-value service, which has the HTTP API of
+// Consul's KV store: reads, blocking reads and compare-and-swap.
 #pragma once
 
 #include <cstdint>
@@ -11,24 +11,25 @@
 
 namespace bramleyspan::platform {
 
-// A value with the version that compare-and-swap takes.
+// A value and its version, which a compare-and-swap expects.
 struct VersionedValue {
   std::string text;
   uint64_t version = 0;
 };
 
-// An answer to a read. `index` is what the next blocking read waits past.
+// The result of a read. The next blocking read waits for a change after
+// `index`.
 struct ReadAnswer {
   std::optional<VersionedValue> value;
   uint64_t index = 0;
 };
 
-// Where the key-value service is and how long a call may take.
+// Address and timeouts of the key-value service.
 struct KeyValueSettings {
   Address address;
   Duration call_timeout = std::chrono::seconds(2);
-  // A service that is frozen shows only by a watch that is not answered in
-  // time, so the wait bounds how late that is noticed.
+  // Wait of a blocking read. A frozen service shows only in a watch that is not
+  // answered in time, so this bounds how late that is noticed.
   Duration watch_wait = std::chrono::seconds(5);
 };
 
@@ -37,24 +38,24 @@
   KeyValueClient(http::Client& client, KeyValueSettings settings)
       : client(client), settings(std::move(settings)) {}
 
-  // Reads a key now.
+  // Reads a key without waiting for a change.
   void Read(const std::string& key,
             std::function<void(Result<ReadAnswer>)> on_done);
 
-  // Reads a key once it has changed since `index`, or the wait is over.
+  // Reads a key once it has changed after `index` or the wait has ended.
   void Watch(const std::string& key,
              uint64_t index,
              std::function<void(Result<ReadAnswer>)> on_done);
 
-  // Writes if the key's version is `expected` (0: the key does not exist).
-  // True if written. Fails with kConnectionFailed if surely nothing was
-  // written, else with kOutcomeUnknown.
-  void Swap(const std::string& key,
-            const std::string& text,
-            uint64_t expected,
-            std::function<void(Result<bool>)> on_done);
+  // Writes the key if its version is `expected` (0: the key does not exist).
+  // Returns whether it was written. Fails with kConnectionFailed if certainly
+  // nothing was written, else with kOutcomeUnknown.
+  void CompareAndSwap(const std::string& key,
+                      const std::string& text,
+                      uint64_t expected,
+                      std::function<void(Result<bool>)> on_done);
 
-  // Calls made since the start; a waiting watch counts as one.
+  // Calls since the start; a watch counts as one, however long it waits.
   uint64_t calls = 0;
 
  private:
@@ -68,7 +69,7 @@
 
 namespace detail {
 
-// Parses the JSON answer to a read. Fails with kMalformedDocument.
+// Parses the JSON response to a read. Fails with kMalformedDocument.
 Result<ReadAnswer> ParseReadAnswer(const http::Response& response);
 
 // Decodes standard base64. Fails with kMalformedDocument.
--- a/Libraries/LibPlatform/OwnDocuments.cc
+++ b/Libraries/LibPlatform/OwnDocuments.cc
@@ -28,7 +28,7 @@
       on_done(Succeed());
       return;
     }
-    // What was surely not done leaves the key as it was.
+    // A write that was certainly not executed leaves the key as it was.
     if (written.error().code != ErrorCode::kUnavailable) {
       this->revisions[key].reset();
     }
@@ -49,7 +49,7 @@
         }
         uint64_t revision = 0;
         for (const StoreItem& item : page.value().items) {
-          // Other keys may begin with this one.
+          // The range also has longer keys with this one as a prefix.
           if (item.key == key) {
             revision = item.revision;
           }
--- a/Libraries/LibPlatform/OwnDocuments.h
+++ b/Libraries/LibPlatform/OwnDocuments.h
@@ -1,11 +1,10 @@
-// Writes documents under keys that nobody else writes, each as a whole.
+// Writes whole documents under keys that no other process writes.
 //
-// Failure: a write that got no answer is carried out seconds later, after the
-// next one of the same document. It shows as a document that goes back to an
-// older state. Every write is therefore conditional on the revision that it
-// replaces; after one whose outcome is unknown the key is read before it is
-// written again, so that whichever of the two writes comes first refuses the
-// other.
+// A write that timed out may be executed seconds later, after the next write of
+// the same document, which would then return to an older state. So every write
+// is conditional on the revision that it replaces. After a write with unknown
+// outcome the key is read before it is written again, so that whichever of the
+// two writes is executed first makes the other fail.
 #pragma once
 
 #include <functional>
@@ -23,15 +22,15 @@
 
   explicit OwnDocuments(const Store& store) : store(store) {}
 
-  // Writes a document. Fails with what the store said; the document may have
-  // been written all the same. One write of a key at a time.
+  // Writes a document. Fails with the store's error; the document may have been
+  // written nevertheless. A key may have only one write at a time.
   void Write(const std::string& key, std::string value, OnDone on_done);
 
-  // No document is written under any of the keys so far. Not while one is being
-  // written.
-  void ForgetAll() { this->revisions.clear(); }
+  // Drops the revisions of all keys written so far, which are not written any
+  // more. Must not be called during a write.
+  void DropRevisions() { this->revisions.clear(); }
 
-  // Documents whose revisions are kept.
+  // Number of documents whose revisions are kept.
   size_t known() const { return this->revisions.size(); }
 
  private:
@@ -39,8 +38,8 @@
   void ReadThenPut(const std::string& key, std::string value, OnDone on_done);
 
   const Store& store;
-  // The revision that a key has, 0 while it does not exist; none while that is
-  // unknown.
+  // Revisions by key: 0 while the key does not exist, none while it is unknown
+  // whether the key exists and with which revision.
   std::map<std::string, std::optional<uint64_t>> revisions;
 };
 
--- a/Libraries/LibPlatform/PrefixFeed.cc
+++ b/Libraries/LibPlatform/PrefixFeed.cc
@@ -7,35 +7,35 @@
 
 namespace {
 
-// `first`, doubled so many times, at most `longest`.
-Duration Doubled(Duration first, int times, Duration longest) {
-  constexpr int kMostDoublings = 10;
-  return std::min(longest, first * (1 << std::min(times, kMostDoublings)));
+// Returns `first` doubled `times` times, at most `max_delay`.
+Duration Doubled(Duration first, int times, Duration max_delay) {
+  constexpr int kMaxDoublings = 10;
+  return std::min(max_delay, first * (1 << std::min(times, kMaxDoublings)));
 }
 
 }  // namespace
 
-Duration CloseWatchWait(Duration notice_bound) {
-  // For giving the watch up and asking anew.
+Duration ActiveWatchWait(Duration notice_bound) {
+  // Covers the timeout of the watch and the call that follows.
   constexpr Duration kReserve = std::chrono::milliseconds(800);
-  constexpr Duration kShortest = std::chrono::milliseconds(500);
-  return std::max(kShortest, notice_bound - kReserve);
+  constexpr Duration kMinWait = std::chrono::milliseconds(500);
+  return std::max(kMinWait, notice_bound - kReserve);
 }
 
-PrefixFeedSettings CloseFeedSettings(std::string prefix,
-                                     Duration notice_bound) {
-  constexpr Duration kRest = std::chrono::milliseconds(120);
-  // For the way of the next call and its answer.
+PrefixFeedSettings ActiveFeedSettings(std::string prefix,
+                                      Duration notice_bound) {
+  constexpr Duration kCooldown = std::chrono::milliseconds(120);
+  // Covers the network latency of the next call and its answer.
   constexpr Duration kReserve = std::chrono::milliseconds(100);
   PrefixFeedSettings settings{.prefix = std::move(prefix),
-                              .watch_wait = CloseWatchWait(notice_bound),
-                              .rest = kRest};
-  // The store may return just after it was asked: that call and the pause
-  // behind it are both waited for.
-  const Duration longest_pause =
+                              .watch_wait = ActiveWatchWait(notice_bound),
+                              .cooldown = kCooldown};
+  // The store may recover just after a call was sent to it: the timeout of that
+  // call and the retry delay behind it both pass first.
+  const Duration max_delay =
       notice_bound - kReserve - settings.probe_wait - settings.answer_timeout;
-  settings.longest_retry_delay = std::clamp(longest_pause, settings.retry_delay,
-                                            settings.longest_retry_delay);
+  settings.max_retry_delay =
+      std::clamp(max_delay, settings.retry_delay, settings.max_retry_delay);
   return settings;
 }
 
@@ -58,25 +58,25 @@
       settings(std::move(settings)),
       events(std::move(events)),
       last_answer(this->timers.now()),
-      returned(TimePoint::min()) {}
+      recovered_at(TimePoint::min()) {}
 
 void PrefixFeed::Start() {
-  ++this->turn;
-  this->in_range.clear();
+  ++this->generation;
+  this->listed.clear();
   this->range_revision = 0;
   this->ReadPage("");
 }
 
 void PrefixFeed::Restart() {
-  if (this->watched == 0) {
+  if (this->watched_revision == 0) {
     return;
   }
-  ++this->turn;
+  ++this->generation;
   this->Watch();
 }
 
-void PrefixFeed::SetWatching(Duration wait, Duration pause) {
-  const bool is_shorter = wait < this->settings.watch_wait && this->reached;
+void PrefixFeed::SetWatchTiming(Duration wait, Duration pause) {
+  const bool is_shorter = wait < this->settings.watch_wait && this->reachable;
   const bool was_pausing =
       this->settings.pause > Duration(0) && pause == Duration(0);
   this->settings.watch_wait = wait;
@@ -86,40 +86,44 @@
   }
 }
 
-void PrefixFeed::RestartIfSilent(uint64_t revision) {
-  this->timers.run_after(
-      this->settings.silence_grace, [this, revision, asked = this->turn] {
-        if (asked == this->turn && this->reached && this->watched < revision) {
-          this->Restart();
-        }
-      });
+void PrefixFeed::RestartIfBehind(uint64_t revision) {
+  this->timers.run_after(this->settings.lag_grace,
+                         [this, revision, call_generation = this->generation] {
+                           if (call_generation == this->generation &&
+                               this->reachable &&
+                               this->watched_revision < revision) {
+                             this->Restart();
+                           }
+                         });
 }
 
 void PrefixFeed::ReadPage(const std::string& after) {
   this->last_call = this->timers.now();
-  this->store.range({.prefix = this->settings.prefix,
-                     .after = after,
-                     .timeout = this->settings.answer_timeout},
-                    [this, asked = this->turn](Result<RangePage> page) {
-                      this->HandlePage(asked, std::move(page));
-                    });
+  this->store.range(
+      {.prefix = this->settings.prefix,
+       .after = after,
+       .timeout = this->settings.answer_timeout},
+      [this, call_generation = this->generation](Result<RangePage> page) {
+        this->HandlePage(call_generation, std::move(page));
+      });
 }
 
-void PrefixFeed::HandlePage(uint64_t asked, Result<RangePage> page) {
-  if (asked != this->turn) {
+void PrefixFeed::HandlePage(uint64_t call_generation, Result<RangePage> page) {
+  if (call_generation != this->generation) {
     return;
   }
   if (page.has_error()) {
     this->Retry("range", page.error());
     return;
   }
-  this->NoteAnswer();
-  // What changes between two pages is in the history after the first one.
+  this->RecordAnswer();
+  // The first watch returns what changes between two pages, since it continues
+  // after the revision of the first page.
   if (this->range_revision == 0) {
     this->range_revision = page.value().revision;
   }
   for (const StoreItem& item : page.value().items) {
-    this->in_range[item.key] = item.revision;
+    this->listed[item.key] = item.revision;
     this->Apply(item, FeedSource::kStore);
   }
   if (page.value().has_more && !page.value().items.empty()) {
@@ -130,73 +134,77 @@
 }
 
 void PrefixFeed::FinishRange() {
-  std::vector<std::string> gone;
-  for (const auto& [key, item] : this->held) {
-    const bool is_listed = this->in_range.contains(key);
+  std::vector<std::string> missing;
+  for (const auto& [key, item] : this->items_by_key) {
+    const bool is_listed = this->listed.contains(key);
     if (!item.is_removed && !is_listed &&
         item.revision <= this->range_revision) {
-      gone.push_back(key);
+      missing.push_back(key);
     }
   }
-  for (const std::string& key : gone) {
-    this->HoldRemoval(key, this->range_revision);
+  for (const std::string& key : missing) {
+    this->HandleRemoval(key, this->range_revision);
   }
   this->has_loaded = true;
-  this->watched = this->range_revision;
+  this->watched_revision = this->range_revision;
   this->Watch();
 }
 
 void PrefixFeed::Watch() {
   this->last_call = this->timers.now();
   const Duration wait =
-      this->reached ? this->settings.watch_wait : this->settings.probe_wait;
-  const Duration slack = this->reached ? this->settings.watch_slack
-                                       : this->settings.answer_timeout;
-  this->store.watch({.prefix = this->settings.prefix,
-                     .after = this->watched,
-                     .wait = wait,
-                     .slack = slack},
-                    [this, asked = this->turn](Result<WatchAnswer> answer) {
-                      this->HandleWatch(asked, std::move(answer));
-                    });
+      this->reachable ? this->settings.watch_wait : this->settings.probe_wait;
+  const Duration slack = this->reachable ? this->settings.watch_slack
+                                         : this->settings.answer_timeout;
+  this->store.watch(
+      {.prefix = this->settings.prefix,
+       .after = this->watched_revision,
+       .wait = wait,
+       .slack = slack},
+      [this, call_generation = this->generation](Result<WatchAnswer> answer) {
+        this->HandleWatch(call_generation, std::move(answer));
+      });
 }
 
-void PrefixFeed::HandleWatch(uint64_t asked, Result<WatchAnswer> answer) {
-  if (asked != this->turn) {
+void PrefixFeed::HandleWatch(uint64_t call_generation,
+                             Result<WatchAnswer> answer) {
+  if (call_generation != this->generation) {
     return;
   }
   if (answer.has_error()) {
     if (answer.error().code == ErrorCode::kHistoryGone) {
-      this->NoteAnswer();
+      this->RecordAnswer();
       this->Start();
       return;
     }
     this->Retry("watch", answer.error());
     return;
   }
-  this->NoteAnswer();
+  this->RecordAnswer();
   for (const StoreItem& item : answer.value().events) {
     if (item.is_removed) {
-      this->HoldRemoval(item.key, item.revision);
+      this->HandleRemoval(item.key, item.revision);
     } else {
       this->Apply(item, FeedSource::kStore);
     }
   }
-  this->watched = std::max(this->watched, answer.value().revision);
+  this->watched_revision =
+      std::max(this->watched_revision, answer.value().revision);
   const bool is_burst = !answer.value().events.empty();
-  const Duration rest = is_burst ? Doubled(this->settings.rest, this->bursts++,
-                                           this->settings.longest_rest)
-                                 : Duration(0);
+  const Duration cooldown =
+      is_burst ? Doubled(this->settings.cooldown, this->bursts++,
+                         this->settings.max_cooldown)
+               : Duration(0);
   if (!is_burst) {
     this->bursts = 0;
   }
-  const Duration pause = std::max(rest, this->settings.pause);
+  const Duration pause = std::max(cooldown, this->settings.pause);
   if (pause == Duration(0)) {
     this->Watch();
     return;
   }
-  this->timers.run_after(pause, [this, asked] {
-    if (asked == this->turn) {
+  this->timers.run_after(pause, [this, call_generation] {
+    if (call_generation == this->generation) {
       this->Watch();
     }
   });
@@ -204,17 +212,20 @@
 
 void PrefixFeed::Retry(std::string_view call, const Error& error) {
   const TimePoint now = this->timers.now();
-  if (std::exchange(this->reached, false) && this->events.on_reach) {
-    this->events.on_reach({.is_reached = false,
-                           .reason = Describe(error),
-                           .unheard = now - this->last_answer});
+  if (std::exchange(this->reachable, false) &&
+      this->events.on_reachability_change) {
+    this->events.on_reachability_change(
+        {.is_reachable = false,
+         .reason = Describe(error),
+         .unanswered_for = now - this->last_answer});
   }
-  // Until the keys were read, a process cannot serve: it asks often.
+  // A process cannot serve until the keys have been read, so the retry delay
+  // does not grow before.
   const Duration delay =
       this->has_loaded
           ? std::max(this->settings.pause,
                      Doubled(this->settings.retry_delay, this->failures++,
-                             this->settings.longest_retry_delay))
+                             this->settings.max_retry_delay))
           : this->settings.retry_delay;
   if (this->events.on_failure) {
     this->events.on_failure({.call = call,
@@ -222,11 +233,11 @@
                              .next_in = delay,
                              .reason = Describe(error)});
   }
-  this->timers.run_after(delay, [this, asked = this->turn] {
-    if (asked != this->turn) {
+  this->timers.run_after(delay, [this, call_generation = this->generation] {
+    if (call_generation != this->generation) {
       return;
     }
-    if (this->watched == 0) {
+    if (this->watched_revision == 0) {
       this->Start();
     } else {
       this->Watch();
@@ -234,73 +245,74 @@
   });
 }
 
-void PrefixFeed::NoteAnswer() {
+void PrefixFeed::RecordAnswer() {
   const TimePoint now = this->timers.now();
-  const Duration unheard = now - std::exchange(this->last_answer, now);
+  const Duration unanswered_for = now - std::exchange(this->last_answer, now);
   const int failed = std::exchange(this->failures, 0);
-  if (!std::exchange(this->reached, true)) {
-    this->returned = now;
-    if (this->events.on_reach) {
-      this->events.on_reach({.is_reached = true,
-                             .reason = "it answers",
-                             .unheard = unheard,
-                             .failures = failed});
+  if (!std::exchange(this->reachable, true)) {
+    this->recovered_at = now;
+    if (this->events.on_reachability_change) {
+      this->events.on_reachability_change({.is_reachable = true,
+                                           .reason = "the store answered",
+                                           .unanswered_for = unanswered_for,
+                                           .failures = failed});
     }
   }
 }
 
-bool PrefixFeed::is_returning() const {
-  return this->returned != TimePoint::min() &&
-         this->timers.now() - this->returned < this->settings.return_grace;
+bool PrefixFeed::is_recovering() const {
+  return this->recovered_at != TimePoint::min() &&
+         this->timers.now() - this->recovered_at <
+             this->settings.recovery_grace;
 }
 
 void PrefixFeed::Apply(const StoreItem& item, FeedSource source) {
-  FeedItem& known = this->held[item.key];
+  FeedItem& known = this->items_by_key[item.key];
   if (known.revision >= item.revision) {
     return;
   }
   known = {.value = item.value,
            .revision = item.revision,
            .is_removed = false,
-           .heard = this->timers.now()};
+           .received_at = this->timers.now()};
   this->newest = std::max(this->newest, item.revision);
   if (this->events.on_change) {
     this->events.on_change(item, source);
   }
 }
 
-void PrefixFeed::HoldRemoval(const std::string& key, uint64_t revision) {
-  // One that pauses may not have noticed that the store was away.
-  const bool may_be_back =
-      this->is_returning() || this->settings.pause > Duration(0);
-  if (!may_be_back) {
+void PrefixFeed::HandleRemoval(const std::string& key, uint64_t revision) {
+  // A feed that pauses may not have noticed an outage of the store.
+  const bool may_reappear =
+      this->is_recovering() || this->settings.pause > Duration(0);
+  if (!may_reappear) {
     this->Remove(key, revision, FeedSource::kStore);
     return;
   }
-  ++this->removals_held;
-  this->timers.run_after(this->settings.return_grace, [this, key, revision] {
-    --this->removals_held;
+  ++this->deferred_removals;
+  this->timers.run_after(this->settings.recovery_grace, [this, key, revision] {
+    --this->deferred_removals;
     this->Remove(key, revision, FeedSource::kStore);
   });
 }
 
 uint64_t PrefixFeed::complete_to() const {
   const bool is_complete =
-      this->removals_held == 0 && !this->is_returning() && this->reached;
-  return is_complete ? this->watched : 0;
+      this->deferred_removals == 0 && !this->is_recovering() && this->reachable;
+  return is_complete ? this->watched_revision : 0;
 }
 
 void PrefixFeed::Remove(const std::string& key,
                         uint64_t revision,
                         FeedSource source) {
-  FeedItem& known = this->held[key];
+  FeedItem& known = this->items_by_key[key];
   if (known.revision > revision || known.is_removed) {
     return;
   }
   known = {.value = "",
            .revision = revision,
            .is_removed = true,
-           .heard = this->timers.now()};
+           .received_at = this->timers.now()};
   this->newest = std::max(this->newest, revision);
   if (this->events.on_change) {
     this->events.on_change(
@@ -320,11 +332,11 @@
       this->Apply(item, FeedSource::kPeer);
     }
   }
-  if (this->watched != 0) {
-    this->watched = std::max(this->watched, complete_to);
+  if (this->watched_revision != 0) {
+    this->watched_revision = std::max(this->watched_revision, complete_to);
   }
-  if (revision > this->watched) {
-    this->RestartIfSilent(revision);
+  if (revision > this->watched_revision) {
+    this->RestartIfBehind(revision);
   }
 }
 
--- a/Libraries/LibPlatform/PrefixFeed.h
+++ b/Libraries/LibPlatform/PrefixFeed.h
@@ -1,7 +1,8 @@
-// Follows all keys of a prefix: reads them whole, then watches. A watch that
-// is cut, silent, slow or has lost its history starts over; what peers have
-// learnt meanwhile is merged by revision, so that an entry that the store
-// turns away hears of changes all the same.
+// A local copy of all keys of a prefix in the store: reads them once, then
+// watches for changes. A watch that fails, times out or falls behind is
+// repeated; if the store no longer has its history, the prefix is read again.
+// The changes that peers have are merged by revision, so that a process that
+// the store does not answer gets changes nevertheless.
 #pragma once
 
 #include <functional>
@@ -17,79 +18,85 @@
 
 struct PrefixFeedSettings {
   std::string prefix;
-  // A silent channel shows only by a watch that is not answered in time, so
-  // the wait bounds how late that is noticed.
+  // Wait of a watch. An unresponsive connection shows only in a watch that is
+  // not answered in time, so this bounds how late that is noticed.
   Duration watch_wait = std::chrono::milliseconds(1200);
+  // Time beyond its wait after which a watch times out.
   Duration watch_slack = std::chrono::milliseconds(300);
-  // Between one watch and the next. A feed that pauses relies on the news of
-  // peers, and asks the store only lest they all be wrong.
+  // Time between two watches. A feed that pauses gets its changes from peers,
+  // and calls the store only in case all of them miss some.
   Duration pause = Duration(0);
-  // An answer for which nothing has to happen first takes no longer.
+  // Timeout of a call that the store answers without waiting for a change.
   Duration answer_timeout = std::chrono::milliseconds(700);
-  // How long a watch waits while the store does not answer. One that was sent
-  // to a silent store is never answered, and the next one waits for its end.
+  // Wait of a watch while the store does not answer. A watch sent during an
+  // outage may never be answered, and the next one follows only after its end.
   Duration probe_wait = std::chrono::milliseconds(20);
-  // After changes the next watch waits, since they come in bursts and each
-  // watch is a call; twice as long after each that brings more of them.
-  Duration rest = Duration(0);
-  Duration longest_rest = std::chrono::milliseconds(450);
-  // A store that is away is asked again after this time, and after twice as
-  // long each time that it does not answer.
+  // Delay of the next watch after one that returned changes, doubled each time
+  // that the next returns more. Changes come in bursts, and each watch is a
+  // paid call.
+  Duration cooldown = Duration(0);
+  Duration max_cooldown = std::chrono::milliseconds(450);
+  // Delay before a retry while the store is unavailable, doubled with each
+  // failure.
   Duration retry_delay = std::chrono::milliseconds(150);
-  Duration longest_retry_delay = std::chrono::milliseconds(900);
-  // A change that a peer knows and the own watch has not told after this time
-  // shows that the watch's channel is silent.
-  Duration silence_grace = std::chrono::milliseconds(900);
-  // Keys that vanish together while the store was away, or just after, may be
-  // back at once: their leases ran out unrenewed. They are held this long.
-  Duration return_grace = std::chrono::milliseconds(2300);
+  Duration max_retry_delay = std::chrono::milliseconds(900);
+  // If the own watch has not returned a change this long after a peer sent it,
+  // its connection counts as unresponsive.
+  Duration lag_grace = std::chrono::milliseconds(900);
+  // Keys removed during an outage of the store or just after it may be written
+  // again at once: their leases expired because they could not be renewed.
+  // Their removals are deferred for this long.
+  Duration recovery_grace = std::chrono::milliseconds(2300);
 };
 
-// How long a watch waits where silence must show within the bound.
-Duration CloseWatchWait(Duration notice_bound);
+// Returns the wait of a watch with which an unresponsive store is noticed
+// within `notice_bound`.
+Duration ActiveWatchWait(Duration notice_bound);
 
-// The settings of a feed that hears the store within the bound after it was
-// silent, however long that was.
-PrefixFeedSettings CloseFeedSettings(std::string prefix, Duration notice_bound);
+// Returns the settings of a feed that has the changes of the store within
+// `notice_bound` after the store recovers, however long its outage was.
+PrefixFeedSettings ActiveFeedSettings(std::string prefix,
+                                      Duration notice_bound);
 
-// What a feed holds of a key; a removed one is kept as its revision, so that
-// news that are late do not bring it back.
+// The state of a key in a feed. A removed key stays with the revision of its
+// removal, so that an older update that arrives late does not restore it.
 struct FeedItem {
   std::string value;
   uint64_t revision = 0;
   bool is_removed = false;
-  // When it was heard.
-  TimePoint heard;
+  // When this state was received.
+  TimePoint received_at;
 };
 
+// Where a change came from.
 enum class FeedSource { kStore, kPeer };
 
-// The stable name of a source, such as "store".
+// Returns the stable name of a source, such as "store".
 std::string_view NameOf(FeedSource source);
 
-// A call to the store that failed or was given up.
+// A call to the store that failed or timed out.
 struct FailedCall {
   std::string_view call;
   Duration took{};
-  // When the next call follows.
+  // Delay before the retry.
   Duration next_in{};
   std::string reason;
 };
 
-// The store answers again, or no longer does.
-struct ReachChange {
-  bool is_reached = false;
+// The store answers again, or has stopped answering.
+struct ReachabilityChange {
+  bool is_reachable = false;
   std::string reason;
-  // How long the store was not heard.
-  Duration unheard{};
-  // Calls that failed meanwhile.
+  // Time since the store's last answer before this change.
+  Duration unanswered_for{};
+  // Number of calls that failed in this time.
   int failures = 0;
 };
 
 struct FeedEvents {
-  // Something was written or removed.
+  // A key was written or removed.
   std::function<void(const StoreItem&, FeedSource)> on_change;
-  std::function<void(const ReachChange&)> on_reach;
+  std::function<void(const ReachabilityChange&)> on_reachability_change;
   std::function<void(const FailedCall&)> on_failure;
 };
 
@@ -102,76 +109,89 @@
   PrefixFeed(const PrefixFeed&) = delete;
   PrefixFeed& operator=(const PrefixFeed&) = delete;
 
+  // Reads the prefix, then watches it.
   void Start();
 
-  // Takes what a peer holds: items and removals with their revisions. Those
-  // that are older than what is known change nothing. They are all changes up
-  // to `complete_to` since the own one, if it is not 0.
+  // Merges the items and removals of a peer; those older than the known state
+  // of their key change nothing. If `complete_to` is not 0, they include all
+  // changes from updates_from() up to that revision.
   void Merge(const std::vector<StoreItem>& items, uint64_t complete_to);
 
-  // Up to which revision all changes are held; 0 if that is not known.
+  // Returns the revision up to which the feed has all changes; 0 if that is
+  // unknown.
   uint64_t complete_to() const;
 
-  // Changes how long a watch waits and the feed pauses between them; a watch
-  // under way that would wait for longer, or a pause, ends.
-  void SetWatching(Duration wait, Duration pause);
+  // Changes the wait of watches and the pause between them. If the feed no
+  // longer pauses, or a running watch would wait for longer, a new watch starts
+  // at once.
+  void SetWatchTiming(Duration wait, Duration pause);
 
-  const std::map<std::string, FeedItem>& items() const { return this->held; }
+  const std::map<std::string, FeedItem>& items() const {
+    return this->items_by_key;
+  }
 
-  // The newest change known.
+  // Returns the revision of the newest change that the feed has.
   uint64_t newest_revision() const { return this->newest; }
 
-  // After which change peers' news are to begin: they tell of what is held back
-  // here, too.
-  uint64_t news_from() const { return std::min(this->watched, this->newest); }
+  // Returns the revision after which changes are requested from a peer. It is
+  // not past deferred removals, so that the peer sends these too.
+  uint64_t updates_from() const {
+    return std::min(this->watched_revision, this->newest);
+  }
 
-  // Whether the keys were ever read whole, from the store or a peer.
+  // Whether all keys have been read once, from the store or a peer.
   bool is_loaded() const { return this->has_loaded; }
   void set_loaded() { this->has_loaded = true; }
 
-  bool is_reached() const { return this->reached; }
+  // Whether the store answered the last call.
+  bool is_reachable() const { return this->reachable; }
 
-  // How long ago the store last answered.
+  // Returns the time since the store's last answer.
   Duration age(TimePoint now) const { return now - this->last_answer; }
 
  private:
   void ReadPage(const std::string& after);
-  void HandlePage(uint64_t turn, Result<RangePage> page);
+  void HandlePage(uint64_t call_generation, Result<RangePage> page);
   void FinishRange();
   void Watch();
-  void HandleWatch(uint64_t turn, Result<WatchAnswer> answer);
+  void HandleWatch(uint64_t call_generation, Result<WatchAnswer> answer);
   void Retry(std::string_view call, const Error& error);
-  // Watches anew on a new channel.
+  // Starts a new watch and drops the answer to the running one.
   void Restart();
-  void RestartIfSilent(uint64_t revision);
-  void NoteAnswer();
+  // Restarts the watch if it has not reached `revision` after `lag_grace`.
+  void RestartIfBehind(uint64_t revision);
+  void RecordAnswer();
   void Apply(const StoreItem& item, FeedSource source);
   void Remove(const std::string& key, uint64_t revision, FeedSource source);
-  void HoldRemoval(const std::string& key, uint64_t revision);
-  bool is_returning() const;
+  // Removes a key that the store no longer has, during recovery only after
+  // `recovery_grace`.
+  void HandleRemoval(const std::string& key, uint64_t revision);
+  bool is_recovering() const;
 
   Timers timers;
   Store& store;
   PrefixFeedSettings settings;
   FeedEvents events;
-  std::map<std::string, FeedItem> held;
-  std::map<std::string, uint64_t> in_range;
+  std::map<std::string, FeedItem> items_by_key;
+  // Keys in the pages of the range so far, and the revision of its first page.
+  std::map<std::string, uint64_t> listed;
   uint64_t range_revision = 0;
-  uint64_t watched = 0;
+  // The revision after which the next watch begins; 0 before the first range.
+  uint64_t watched_revision = 0;
   uint64_t newest = 0;
-  // Answers to an older turn are dropped.
-  uint64_t turn = 0;
+  // Answers to calls of an older generation are dropped.
+  uint64_t generation = 0;
   bool has_loaded = false;
-  bool reached = true;
-  // Failures, and answers with changes, that followed each other.
+  bool reachable = true;
+  // Consecutive failed calls, and consecutive watches with changes.
   int failures = 0;
   int bursts = 0;
-  // Removals that are held back.
-  int removals_held = 0;
+  // Number of deferred removals.
+  int deferred_removals = 0;
   TimePoint last_answer;
   TimePoint last_call;
-  // When the store last came back after it had not answered.
-  TimePoint returned;
+  // When the store last answered again after an outage.
+  TimePoint recovered_at;
 };
 
 }  // namespace bramleyspan::platform
--- a/Libraries/LibPlatform/Store.h
+++ b/Libraries/LibPlatform/Store.h
@@ -1,12 +1,11 @@
-// The key-value interface that the product needs of a platform: ranges,
-// watches of a prefix, leases and conditional transactions. Adapters fill it
-// in; every call has a bound in time, and its failure says what may have
-// happened:
-//   kUnavailable      surely not done; it may be tried again
-//   kOutcomeUnknown   may have been done, or may be done yet
+// The key-value store interface that a platform's adapter implements: ranges,
+// watches of a prefix, leases and conditional writes. Every call has a timeout,
+// and its error code says whether it was executed:
+//   kUnavailable      not executed; the call may be retried
+//   kOutcomeUnknown   may have been executed, or may still be
 //   kConflict         a condition did not hold
 //   kNotFound         the lease has ended
-//   kHistoryGone      a watch asks for changes that are forgotten
+//   kHistoryGone      the store no longer has the changes that a watch requests
 #pragma once
 
 #include <cstdint>
@@ -20,7 +19,7 @@
 
 namespace bramleyspan::platform {
 
-// A key as it was written, or its removal.
+// A write of a key, or its removal.
 struct StoreItem {
   std::string key;
   std::string value;
@@ -28,14 +27,15 @@
   bool is_removed = false;
 };
 
-// One page of a prefix. Pages are no snapshot.
+// One page of the keys of a prefix. Pages of one range may be of different
+// revisions.
 struct RangePage {
   std::vector<StoreItem> items;
   bool has_more = false;
   uint64_t revision = 0;
 };
 
-// What happened after a revision; `revision` is where the next watch begins.
+// The changes after a revision. The next watch continues after `revision`.
 struct WatchAnswer {
   std::vector<StoreItem> events;
   uint64_t revision = 0;
@@ -43,9 +43,9 @@
 
 struct RangeCall {
   std::string prefix;
-  // The key after which the page begins; empty for the first page.
+  // The last key of the page before; empty for the first page.
   std::string after;
-  // Cheaper, and seconds old.
+  // Allows an answer that is seconds old, which costs less.
   bool may_be_stale = false;
   Duration timeout = std::chrono::seconds(1);
 };
@@ -54,7 +54,7 @@
   std::string prefix;
   uint64_t after = 0;
   Duration wait = std::chrono::seconds(1);
-  // How much longer than the wait the answer may take.
+  // Time beyond `wait` after which the call times out.
   Duration slack = std::chrono::milliseconds(500);
 };
 
@@ -62,25 +62,25 @@
   std::string key;
   std::string value;
   uint64_t lease = 0;
-  // The revision that the key must still have; 0 if it must not exist. A write
-  // that is carried out late then does not take the place of a later one.
+  // The revision that the key must still have; 0 if it must not exist. With it,
+  // a write that is executed late cannot replace a later one.
   std::optional<uint64_t> expected_revision;
 };
 
-// Keys that one call may remove.
-inline constexpr size_t kMostRemovedKeys = 32;
+// Limit of keys that one call removes.
+inline constexpr size_t kMaxRemovedKeys = 32;
 
 struct Store {
   std::function<void(RangeCall, std::function<void(Result<RangePage>)>)> range;
   std::function<void(WatchCall, std::function<void(Result<WatchAnswer>)>)>
       watch;
-  // Writes; gives the revision.
+  // Writes a key. Returns its new revision.
   std::function<void(PutCall, std::function<void(Result<uint64_t>)>)> put;
-  // Removes keys, whether they exist or not; kMostRemovedKeys at most.
+  // Removes up to kMaxRemovedKeys keys, whether they exist or not.
   std::function<void(std::vector<std::string> keys,
                      std::function<void(Result<void>)>)>
       remove;
-  // Gives the lease's number.
+  // Returns the number of a new lease.
   std::function<void(Duration ttl, std::function<void(Result<uint64_t>)>)>
       grant_lease;
   std::function<void(uint64_t lease, std::function<void(Result<void>)>)>
--- a/Libraries/LibPlatform/VmList.h
+++ b/Libraries/LibPlatform/VmList.h
@@ -1,4 +1,5 @@
-// The platform's list of VMs: which live and which are leaving. It lags.
+// The platform's list of VMs and whether each is live or leaving. The list lags
+// behind.
 #pragma once
 
 #include <functional>
@@ -13,7 +14,7 @@
 enum class VmKind { kEntry, kTarget };
 enum class VmState { kLive, kLeaving };
 
-// A VM as the list shows it.
+// An entry of the list.
 struct Vm {
   std::string name;
   std::string ip;
@@ -25,7 +26,8 @@
 // Parses the list's JSON. Fails with kMalformedDocument.
 Result<std::vector<Vm>> ParseVmList(std::string_view text);
 
-// Fetches the list once.
+// Fetches the list once. Fails with kUnavailable, with kMalformedDocument or
+// with the error of the call.
 void FetchVmList(http::Client& client,
                  const Address& address,
                  std::function<void(Result<std::vector<Vm>>)> on_done);
--- a/Services/bramleyspand/Entry/CatalogueChanges.cc
+++ b/Services/bramleyspand/Entry/CatalogueChanges.cc
@@ -88,7 +88,7 @@
 
   void Perform(const catalogue::WriteShard& effect) {
     constexpr uint64_t kMustNotExist = 0;
-    this->state.key_value.Swap(
+    this->state.key_value.CompareAndSwap(
         std::string(kShardPrefix) + effect.digest, effect.document,
         kMustNotExist,
         [self = this->shared_from_this(),
@@ -120,7 +120,7 @@
   }
 
   void Perform(const catalogue::SwapHead& effect) {
-    this->state.key_value.Swap(
+    this->state.key_value.CompareAndSwap(
         std::string(kHeadKey), effect.text, effect.expected_version,
         [self = this->shared_from_this()](const Result<bool>& swapped) {
           self->Perform(catalogue::HandleHeadSwapped(self->commit, swapped));
--- a/Services/bramleyspand/Gateway/Feeds.cc
+++ b/Services/bramleyspand/Gateway/Feeds.cc
@@ -88,12 +88,12 @@
         on_change) {
   platform::FeedEvents events;
   events.on_change = std::move(on_change);
-  events.on_reach = [name](const platform::ReachChange& change) {
-    Log(change.is_reached ? LogLevel::kInfo : LogLevel::kWarning, "feeds",
-        change.is_reached ? "store_regained" : "store_lost",
+  events.on_reachability_change = [name](const platform::ReachabilityChange& change) {
+    Log(change.is_reachable ? LogLevel::kInfo : LogLevel::kWarning, "feeds",
+        change.is_reachable ? "store_regained" : "store_lost",
         {{"feed", name},
          {"reason", change.reason},
-         {"unheard_ms", Milliseconds(change.unheard)},
+         {"unheard_ms", Milliseconds(change.unanswered_for)},
          {"failed_calls", std::to_string(change.failures)}});
   };
   events.on_failure = [name](const platform::FailedCall& failed) {
@@ -114,7 +114,7 @@
                 std::function<void()> on_target) {
   state.table_feed = std::make_unique<platform::PrefixFeed>(
       TimersOf(state.loop), state.store,
-      platform::CloseFeedSettings(state.adapter.table_prefix,
+      platform::ActiveFeedSettings(state.adapter.table_prefix,
                                   state.fleet().notice_bound),
       EventsOf("table", [&state, on_table = std::move(on_table)](
                             const platform::StoreItem& item,
@@ -123,7 +123,7 @@
       }));
   state.targets_feed = std::make_unique<platform::PrefixFeed>(
       TimersOf(state.loop), state.store,
-      platform::CloseFeedSettings(state.adapter.targets_prefix,
+      platform::ActiveFeedSettings(state.adapter.targets_prefix,
                                   state.fleet().notice_bound),
       EventsOf("targets",
                [&state, on_target = std::move(on_target)](
@@ -137,15 +137,15 @@
 
 void AdjustWatching(GatewayState& state, TimePoint now) {
   const bool is_close =
-      membership::is_close_watcher(state.members, state.incarnation, now);
+      membership::is_active_watcher(state.members, state.incarnation, now);
   if (std::exchange(state.is_watching_closely, is_close) == is_close) {
     return;
   }
   Log(LogLevel::kInfo, "feeds", "watching",
       {{"how", is_close ? "closely" : "relaxed"},
        {"gateways",
-        std::to_string(membership::CountEntries(state.members, now))}});
-  Duration wait = platform::CloseWatchWait(state.fleet().notice_bound);
+        std::to_string(membership::CountGateways(state.members, now))}});
+  Duration wait = platform::ActiveWatchWait(state.fleet().notice_bound);
   Duration pause{};
   if (!is_close && membership::is_large(state.members)) {
     wait = kShortWait;
@@ -153,8 +153,8 @@
   } else if (!is_close) {
     wait = kRelaxedWait;
   }
-  state.table_feed->SetWatching(wait, pause);
-  state.targets_feed->SetWatching(wait, pause);
+  state.table_feed->SetWatchTiming(wait, pause);
+  state.targets_feed->SetWatchTiming(wait, pause);
 }
 
 }  // namespace bramleyspan::gatewayd
--- a/Services/bramleyspand/Gateway/Forwarding.cc
+++ b/Services/bramleyspand/Gateway/Forwarding.cc
@@ -58,7 +58,7 @@
 
 gateway::Sharing SharingOf(const GatewayState& state, TimePoint now) {
   gateway::Sharing sharing;
-  for (const auto* other : membership::LiveEntries(state.members, now)) {
+  for (const auto* other : membership::LiveGateways(state.members, now)) {
     ++sharing.gateways;
     sharing.hungry_others += other->member.is_hungry ? 1 : 0;
   }
@@ -183,7 +183,7 @@
       this->unreached > kMostUnreached) {
     return false;
   }
-  const size_t gateways = membership::CountEntries(this->state.members, now);
+  const size_t gateways = membership::CountGateways(this->state.members, now);
   if (has_arrived &&
       !gateway::TakeRepeat(this->state.repeats, this->service, gateways, now)) {
     Log(LogLevel::kWarning, "forward", "no_budget", {{"request", this->id}});
@@ -230,7 +230,7 @@
 
 gateway::Obstacle Forwarding::FindObstacle() const {
   if (this->table == nullptr) {
-    return this->state.table_feed->is_reached() ? gateway::Obstacle::kStarting
+    return this->state.table_feed->is_reachable() ? gateway::Obstacle::kStarting
                                                 : gateway::Obstacle::kStoreAway;
   }
   const bool is_closed =
--- a/Services/bramleyspand/Gateway/GatewayRole.cc
+++ b/Services/bramleyspand/Gateway/GatewayRole.cc
@@ -250,7 +250,7 @@
       addresses.push_back(Format(*this->state.fleet().callers));
     }
     for (const auto* known :
-         membership::LiveEntries(this->state.members, now)) {
+         membership::LiveGateways(this->state.members, now)) {
       if (addresses.size() < kMostAddresses) {
         addresses.push_back(known->member.caller_address);
       }
@@ -418,7 +418,7 @@
         dump["targets"][id]["rank"] = {
             {"agent_ip", view.rank->agent_ip},
             {"epoch", view.rank->epoch},
-            {"heard_ms", (now - view.rank->heard).count() / 1000},
+            {"heard_ms", (now - view.rank->received_at).count() / 1000},
             {"rank", view.rank->rank}};
       }
     }
@@ -432,7 +432,7 @@
                                {"is_ready", known.member.is_ready},
                                {"is_leaving", known.member.is_leaving},
                                {"table_version", known.member.table_version},
-                               {"age_ms", (now - known.heard).count() / 1000}};
+                               {"age_ms", (now - known.received_at).count() / 1000}};
     }
     return dump;
   }
--- a/Services/bramleyspand/Gateway/MemberRecords.cc
+++ b/Services/bramleyspand/Gateway/MemberRecords.cc
@@ -25,8 +25,8 @@
 
 Duration MemberRecords::Interval() const {
   const size_t gateways =
-      membership::CountEntries(this->state.members, EventLoop::Now());
-  const auto times = static_cast<int>(gateways / membership::kAllPeers);
+      membership::CountGateways(this->state.members, EventLoop::Now());
+  const auto times = static_cast<int>(gateways / membership::kMaxFullMeshPeers);
   return kShortestInterval * std::clamp(times, 1, kMostTimesLonger);
 }
 
@@ -37,7 +37,7 @@
         if (page.has_value()) {
           for (const auto& item : page.value().items) {
             if (item.value != this->state.settings.ip) {
-              membership::AddHint(this->state.members, item.value,
+              membership::AddSeedAddress(this->state.members, item.value,
                                   EventLoop::Now());
             }
           }
--- a/Services/bramleyspand/Gateway/Peers.cc
+++ b/Services/bramleyspand/Gateway/Peers.cc
@@ -43,12 +43,12 @@
 
 void Peers::Tick() {
   const TimePoint now = EventLoop::Now();
-  membership::Forget(this->state.members, now);
+  membership::RemoveExpired(this->state.members, now);
   AdjustWatching(this->state, now);
   // The settings name their seeds for good, whether they are up or not.
   for (const std::string& ip : this->state.fleet().seeds) {
     if (ip != this->state.settings.ip) {
-      membership::AddHint(this->state.members, ip, now);
+      membership::AddSeedAddress(this->state.members, ip, now);
     }
   }
   this->Tell();
@@ -72,10 +72,10 @@
   membership::wire::HeartbeatT heartbeat;
   heartbeat.members.push_back(std::make_unique<MemberT>(self));
   for (const MemberT* member :
-       membership::NextToTell(this->state.members, now)) {
+       membership::RecordsToSend(this->state.members, now)) {
     heartbeat.members.push_back(std::make_unique<MemberT>(*member));
   }
-  heartbeat.signs = membership::SignsToTell(this->state.members, now);
+  heartbeat.signs = membership::DigestsToSend(this->state.members, now);
   const std::string bytes = membership::Encode(std::move(heartbeat));
   for (const std::string& ip :
        membership::PeersForHeartbeat(this->state.members, this->turn)) {
@@ -102,11 +102,11 @@
   self.targets_revision = now.targets_feed->newest_revision();
   self.is_hungry = !now.waiting.empty();
   self.hears_store =
-      now.table_feed->is_reached() && now.targets_feed->is_reached();
+      now.table_feed->is_reachable() && now.targets_feed->is_reachable();
   for (const auto& [id, view] : now.targets.by_id) {
     // An agent that answers probes knows its rank's load better than these
     // counts, which would fill a heartbeat at every gateway.
-    const bool has_agent = view.rank && EventLoop::Now() - view.rank->heard <
+    const bool has_agent = view.rank && EventLoop::Now() - view.rank->received_at <
                                             membership::kSuspectAfter;
     if (view.open == 0 || has_agent || self.open.size() >= kMostOpenCounts) {
       continue;
@@ -116,7 +116,7 @@
     count->open = static_cast<uint16_t>(view.open);
     self.open.push_back(std::move(count));
   }
-  membership::Stamp(this->state.members, self);
+  membership::AdvanceOwnRecord(this->state.members, self);
   return self;
 }
 
@@ -150,7 +150,7 @@
     }
   }
   membership::wire::MemberQueryT query;
-  query.keys = membership::TakeSigns(this->state.members, heartbeat.signs,
+  query.keys = membership::ApplyDigests(this->state.members, heartbeat.signs,
                                      EventLoop::Now());
   if (!query.keys.empty()) {
     this->Send(from_ip, membership::Encode(std::move(query)));
@@ -177,7 +177,7 @@
   const bool is_restarted =
       found != this->state.members.known.end() &&
       found->second.member.incarnation != member.incarnation;
-  if (!membership::Learn(this->state.members, member, is_direct, now)) {
+  if (!membership::Merge(this->state.members, member, is_direct, now)) {
     return;
   }
   if (!was_alive || is_restarted) {
@@ -238,7 +238,7 @@
   this->last_fetch = now;
   const std::string query =
       "/v1/news?table=" + std::to_string(own_version) +
-      "&targets=" + std::to_string(now_state.targets_feed->news_from());
+      "&targets=" + std::to_string(now_state.targets_feed->updates_from());
   http::DirectCall::Fetch(
       this->state.loop,
       {.target = {member.ip, this->state.fleet().peer_port},
--- a/Services/bramleyspand/Gateway/Placing.cc
+++ b/Services/bramleyspand/Gateway/Placing.cc
@@ -69,7 +69,7 @@
   }
   const auto view = this->state.targets.by_id.find(asked->second.target);
   if (view != this->state.targets.by_id.end() && view->second.rank) {
-    view->second.rank->heard = EventLoop::Now();
+    view->second.rank->received_at = EventLoop::Now();
   }
   round.offers.push_back(
       {.target = asked->second.target,
--- a/Services/bramleyspand/Gateway/RankAgents.cc
+++ b/Services/bramleyspand/Gateway/RankAgents.cc
@@ -42,7 +42,7 @@
 
 void RankAgents::HandleHeartbeat(const MemberT& member) {
   const TimePoint now = EventLoop::Now();
-  this->heard[member.ip] = now;
+  this->received_at[member.ip] = now;
   const auto* rank = member.rank.get();
   if (rank == nullptr) {
     return;
@@ -54,16 +54,16 @@
                                 .is_open = rank->is_open,
                                 .pace = rank->pace,
                                 .agent_ip = member.ip,
-                                .heard = now};
+                                .received_at = now};
 }
 
 bool RankAgents::HandleSummary(const std::string& from_ip,
                                const membership::wire::GroupSummaryT& summary) {
   const TimePoint now = EventLoop::Now();
-  const auto known = this->heard.find(from_ip);
-  const bool is_new = known == this->heard.end() ||
+  const auto known = this->received_at.find(from_ip);
+  const bool is_new = known == this->received_at.end() ||
                       now - known->second > membership::kSuspectAfter;
-  this->heard[from_ip] = now;
+  this->received_at[from_ip] = now;
   for (const auto& row : summary.rows) {
     const Address server{FormatIp(row.server_ip()), row.server_port()};
     this->ranks[Format(server)] = {.group = summary.group,
@@ -73,17 +73,17 @@
                                    .is_open = row.is_open(),
                                    .pace = row.pace(),
                                    .agent_ip = FormatIp(row.agent_ip()),
-                                   .heard = now};
+                                   .received_at = now};
   }
   return is_new;
 }
 
 void RankAgents::UpdateTargets(TimePoint now) {
   std::erase_if(this->ranks, [now](const auto& item) {
-    return now - item.second.heard > membership::kForgetAfter;
+    return now - item.second.received_at > membership::kRemoveAfter;
   });
-  std::erase_if(this->heard, [now](const auto& item) {
-    return now - item.second > membership::kForgetAfter;
+  std::erase_if(this->received_at, [now](const auto& item) {
+    return now - item.second > membership::kRemoveAfter;
   });
   for (auto& [id, view] : this->state.targets.by_id) {
     if (view.is_replaced) {
@@ -91,10 +91,10 @@
     }
     const auto told = this->ranks.find(Format(view.target.address));
     if (told != this->ranks.end() &&
-        (!view.rank || told->second.heard > view.rank->heard)) {
+        (!view.rank || told->second.received_at > view.rank->received_at)) {
       view.rank = told->second;
     }
-    if (view.rank && now - view.rank->heard > membership::kSuspectAfter) {
+    if (view.rank && now - view.rank->received_at > membership::kSuspectAfter) {
       view.rank->is_open = true;
     }
   }
@@ -106,7 +106,7 @@
     const gateway::RankView*& known = groups[view.group][view.rank];
     const bool is_newer =
         known == nullptr || known->epoch < view.epoch ||
-        (known->epoch == view.epoch && known->heard < view.heard);
+        (known->epoch == view.epoch && known->received_at < view.received_at);
     if (is_newer) {
       known = &view;
     }
@@ -122,7 +122,7 @@
   heartbeat.is_asking = is_asking;
   heartbeat.members.push_back(ForAgents(self));
   for (const MemberT* member :
-       membership::MembersToTell(this->state.members, this->turn,
+       membership::GatewaysForAgent(this->state.members, this->turn,
                                  kGatewaysToldToAgents, EventLoop::Now())) {
     heartbeat.members.push_back(ForAgents(*member));
   }
@@ -164,7 +164,7 @@
     const bool has_agent = service != this->state.table->services.end() &&
                            service->second.engine && !view.is_replaced;
     const bool is_silent =
-        !view.rank || now - view.rank->heard > membership::kSuspectAfter;
+        !view.rank || now - view.rank->received_at > membership::kSuspectAfter;
     if (has_agent && is_silent) {
       ips.insert(gateway::AgentIpOf(view));
     }
@@ -180,7 +180,7 @@
   for (const std::string& ip : silent) {
     this->send(ip, this->Describe(self, ip, groups, /*is_asking=*/true));
   }
-  for (const auto& [ip, at] : this->heard) {
+  for (const auto& [ip, at] : this->received_at) {
     if (!silent.contains(ip)) {
       this->send(ip, this->Describe(self, ip, groups, /*is_asking=*/false));
     }
--- a/Services/bramleyspand/Gateway/RankAgents.h
+++ b/Services/bramleyspand/Gateway/RankAgents.h
@@ -55,7 +55,7 @@
   // By the address of the rank's server.
   std::map<std::string, gateway::RankView> ranks;
   // Agents that tell this gateway themselves, and when they last did.
-  std::map<std::string, TimePoint> heard;
+  std::map<std::string, TimePoint> received_at;
   uint64_t turn = 0;
 };
 
--- a/Services/bramleyspand/Gateway/UsageKeeping.cc
+++ b/Services/bramleyspand/Gateway/UsageKeeping.cc
@@ -103,7 +103,7 @@
     return;
   }
   if (usage::ForgetWindows(this->keeper, WindowNow(this->ledger))) {
-    this->documents.ForgetAll();
+    this->documents.DropRevisions();
   }
   std::exchange(this->on_all_written, [] {})();
 }
@@ -128,7 +128,7 @@
           for (const auto& item : page.value().items) {
             const auto window = usage::WindowOfKey(item.key);
             if (window && *window < oldest &&
-                old.size() < platform::kMostRemovedKeys) {
+                old.size() < platform::kMaxRemovedKeys) {
               old.push_back(item.key);
             }
           }
--- a/Services/bramleyspand/Rank/Leader.cc
+++ b/Services/bramleyspand/Rank/Leader.cc
@@ -191,7 +191,7 @@
 // agents of these ranks.
 void Leader::SendHeartbeats(TimePoint now) {
   membership::wire::HeartbeatT heartbeat;
-  for (const auto* member : membership::MembersToTell(
+  for (const auto* member : membership::GatewaysForAgent(
            this->state.members, ++this->heartbeats, 1, now)) {
     heartbeat.members.push_back(
         std::make_unique<membership::wire::MemberT>(*member));
--- a/Services/bramleyspand/Rank/RankRole.cc
+++ b/Services/bramleyspand/Rank/RankRole.cc
@@ -140,7 +140,7 @@
     ++this->ticks;
     this->state.loop.RunAfter(kTickInterval, [this] { this->Tick(); });
     const TimePoint now = EventLoop::Now();
-    membership::Forget(this->state.members, now);
+    membership::RemoveExpired(this->state.members, now);
     this->readings.ReadReport();
     this->leader.Tick(now);
     if (this->ticks % kTicksPerHeartbeat == 0 ||
@@ -339,7 +339,7 @@
     const auto found = this->state.members.known.find(member.name);
     const bool is_new = found == this->state.members.known.end() ||
                         found->second.member.incarnation != member.incarnation;
-    const bool is_learnt = membership::Learn(this->state.members, member,
+    const bool is_learnt = membership::Merge(this->state.members, member,
                                              is_direct, EventLoop::Now());
     // A gateway that has just started learns of this rank at once.
     if (is_learnt && is_new && member.is_entry) {
--- a/Tests/LibGateway/TestOffers.cc
+++ b/Tests/LibGateway/TestOffers.cc
@@ -19,7 +19,7 @@
     table.by_id[id].rank = RankView{.group = rank < 8 ? "a" : "b",
                                     .rank = rank % 8,
                                     .size = 8,
-                                    .heard = kStart};
+                                    .received_at = kStart};
   }
   return table;
 }
@@ -45,7 +45,7 @@
   for (auto& [id, view] : table.by_id) {
     view.target.is_leaving = id != "r1" && id != "r2" && id != "r3";
   }
-  table.by_id["r2"].rank->heard = kStart - std::chrono::seconds(2);
+  table.by_id["r2"].rank->received_at = kStart - std::chrono::seconds(2);
   table.by_id["r3"].avoided_until = kStart + std::chrono::seconds(1);
   const auto ranks = PickRanksToAsk(table, "models", {}, 6, 1, kStart);
   REQUIRE(ranks.size() == 1);
--- a/Tests/LibMembership/SimulatedFleet.cc
+++ b/Tests/LibMembership/SimulatedFleet.cc
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr uint64_t kHeadersOfDatagram = 28;
+constexpr uint64_t kIpAndUdpHeaderBytes = 28;
 
 std::string IpOf(size_t member) {
   return "10.0." + std::to_string(member / 250) + "." +
          std::to_string(member % 250 + 1);
 }
 
-size_t MemberAt(const std::string& ip) {
+size_t MemberIndexOf(const std::string& ip) {
   const size_t dot = ip.rfind('.');
   return std::stoul(ip.substr(5, dot - 5)) * 250 +
          std::stoul(ip.substr(dot + 1)) - 1;
@@ -28,9 +28,9 @@
 
 SimulatedFleet::SimulatedFleet(const std::vector<size_t>& zones, uint64_t seed)
     : random(seed) {
-  std::vector<std::string> firsts;
+  std::vector<std::string> seeds;
   for (size_t zone = 0; zone < zones.size(); ++zone) {
-    firsts.push_back(IpOf(this->members.size()));
+    seeds.push_back(IpOf(this->members.size()));
     for (size_t i = 0; i < zones[zone]; ++i) {
       const size_t member = this->members.size();
       Gateway gateway;
@@ -49,10 +49,10 @@
     }
   }
   for (Gateway& gateway : this->members) {
-    gateway.was_named.resize(this->members.size());
-    for (const std::string& ip : firsts) {
+    gateway.was_live.resize(this->members.size());
+    for (const std::string& ip : seeds) {
       if (ip != gateway.self.ip) {
-        gateway.members.hints[ip] = this->now;
+        gateway.members.seed_addresses[ip] = this->now;
       }
     }
   }
@@ -68,66 +68,70 @@
     this->now = std::max(this->now, next->next);
     next->next = this->now + kHeartbeatInterval;
     if (next->is_up) {
-      Forget(next->members, this->now);
+      RemoveExpired(next->members, this->now);
       this->CountSuspicions(*next);
-      this->Tell(*next);
+      this->SendHeartbeat(*next);
     }
   }
 }
 
-void SimulatedFleet::Tell(Gateway& gateway) {
-  Stamp(gateway.members, gateway.self);
+void SimulatedFleet::SendHeartbeat(Gateway& gateway) {
+  AdvanceOwnRecord(gateway.members, gateway.self);
   wire::HeartbeatT heartbeat;
   heartbeat.members.push_back(std::make_unique<wire::MemberT>(gateway.self));
-  for (const wire::MemberT* member : NextToTell(gateway.members, this->now)) {
+  for (const wire::MemberT* member :
+       RecordsToSend(gateway.members, this->now)) {
     heartbeat.members.push_back(std::make_unique<wire::MemberT>(*member));
   }
-  heartbeat.signs = SignsToTell(gateway.members, this->now);
-  wire::HeartbeatT kept = heartbeat;
+  heartbeat.signs = DigestsToSend(gateway.members, this->now);
+  wire::HeartbeatT delivered = heartbeat;
   const uint64_t bytes =
-      Encode(std::move(heartbeat)).size() + kHeadersOfDatagram;
+      Encode(std::move(heartbeat)).size() + kIpAndUdpHeaderBytes;
   for (const std::string& ip :
-       PeersForHeartbeat(gateway.members, gateway.turn)) {
+       PeersForHeartbeat(gateway.members, gateway.round)) {
     gateway.sent += bytes;
-    Gateway& peer = this->members[MemberAt(ip)];
+    Gateway& peer = this->members[MemberIndexOf(ip)];
     const bool is_lost =
-        static_cast<int>(this->random() % 100) < this->lost || !peer.is_up;
+        static_cast<int>(this->random() % 100) < this->loss_percent ||
+        !peer.is_up;
     if (is_lost) {
       continue;
     }
     peer.received += bytes;
-    for (const auto& member : kept.members) {
-      Learn(peer.members, *member, member->ip == gateway.self.ip, this->now);
+    for (const auto& member : delivered.members) {
+      Merge(peer.members, *member, member->ip == gateway.self.ip, this->now);
     }
-    this->Ask(peer, gateway, TakeSigns(peer.members, kept.signs, this->now));
+    this->Query(peer, gateway,
+                ApplyDigests(peer.members, delivered.signs, this->now));
   }
-  ++gateway.turn;
+  ++gateway.round;
 }
 
-void SimulatedFleet::Ask(Gateway& asking,
-                         Gateway& asked,
-                         const std::vector<uint32_t>& keys) {
+void SimulatedFleet::Query(Gateway& requester,
+                           Gateway& responder,
+                           const std::vector<uint32_t>& keys) {
   if (keys.empty()) {
     return;
   }
   wire::HeartbeatT answer;
-  for (const wire::MemberT* member : FindByKeys(asked.members, keys)) {
-    Learn(asking.members, *member, false, this->now);
+  for (const wire::MemberT* member : FindByKeys(responder.members, keys)) {
+    Merge(requester.members, *member, false, this->now);
     answer.members.push_back(std::make_unique<wire::MemberT>(*member));
   }
-  const uint64_t bytes = Encode(std::move(answer)).size() + kHeadersOfDatagram;
-  asked.sent += bytes;
-  asking.received += bytes;
+  const uint64_t bytes =
+      Encode(std::move(answer)).size() + kIpAndUdpHeaderBytes;
+  responder.sent += bytes;
+  requester.received += bytes;
 }
 
 void SimulatedFleet::CountSuspicions(Gateway& gateway) {
   for (const auto& [name, known] : gateway.members.known) {
-    const size_t other = MemberAt(known.member.ip);
-    const bool is_named = is_alive(known, this->now);
-    if (gateway.was_named[other] && !is_named && this->members[other].is_up) {
+    const size_t other = MemberIndexOf(known.member.ip);
+    const bool is_live = is_alive(known, this->now);
+    if (gateway.was_live[other] && !is_live && this->members[other].is_up) {
       ++this->false_suspicions;
     }
-    gateway.was_named[other] = is_named;
+    gateway.was_live[other] = is_live;
   }
 }
 
@@ -147,11 +151,11 @@
   gateway.members.own = {};
 }
 
-size_t SimulatedFleet::CountNamed(size_t member) const {
-  return LiveEntries(this->members[member].members, this->now).size();
+size_t SimulatedFleet::CountLivePeers(size_t member) const {
+  return LiveGateways(this->members[member].members, this->now).size();
 }
 
-bool SimulatedFleet::is_named_by(size_t member, size_t other) const {
+bool SimulatedFleet::is_live_for(size_t member, size_t other) const {
   const auto& known = this->members[other].members.known;
   const auto found = known.find(NameOf(member));
   return found != known.end() && is_alive(found->second, this->now) &&
@@ -160,12 +164,12 @@
 }
 
 double SimulatedFleet::BytesPerSecond() const {
-  uint64_t most = 0;
+  uint64_t busiest = 0;
   for (const Gateway& gateway : this->members) {
-    most = std::max({most, gateway.sent, gateway.received});
+    busiest = std::max({busiest, gateway.sent, gateway.received});
   }
-  return static_cast<double>(most) /
-         std::chrono::duration<double>(this->now - this->began).count();
+  return static_cast<double>(busiest) /
+         std::chrono::duration<double>(this->now - this->started_at).count();
 }
 
 }  // namespace bramleyspan::membership
--- a/Tests/LibPlatform/SimulatedStore.cc
+++ b/Tests/LibPlatform/SimulatedStore.cc
@@ -21,14 +21,14 @@
   return store;
 }
 
-void SimulatedStore::FallSilent() {
-  this->is_silent = true;
+void SimulatedStore::StopResponding() {
+  this->is_unresponsive = true;
   this->waiting.clear();
 }
 
 void SimulatedStore::Write(const std::string& key) {
   this->history.push_back({.key = key, .revision = ++this->last_revision});
-  if (this->is_silent) {
+  if (this->is_unresponsive) {
     return;
   }
   for (const auto& call : std::exchange(this->waiting, {})) {
@@ -39,20 +39,21 @@
 void SimulatedStore::Watch(const WatchCall& call,
                            std::function<void(Result<WatchAnswer>)> on_done) {
   const Timers timers = this->time.timers();
-  auto asked = std::make_shared<Call>(
+  auto pending = std::make_shared<Call>(
       Call{.after = call.after,
            .until = this->time.now + this->one_way + call.wait,
            .on_done = std::move(on_done)});
-  timers.run_after(this->one_way, [this, asked] { this->Arrive(asked); });
-  timers.run_after(call.wait + call.slack, [asked] {
-    if (!std::exchange(asked->is_ended, true)) {
-      asked->on_done(Fail(ErrorCode::kOutcomeUnknown, "store", "timeout"));
+  timers.run_after(this->one_way,
+                   [this, pending] { this->HandleArrival(pending); });
+  timers.run_after(call.wait + call.slack, [pending] {
+    if (!std::exchange(pending->is_ended, true)) {
+      pending->on_done(Fail(ErrorCode::kOutcomeUnknown, "store", "timeout"));
     }
   });
 }
 
-void SimulatedStore::Arrive(const std::shared_ptr<Call>& call) {
-  if (this->is_silent) {
+void SimulatedStore::HandleArrival(const std::shared_ptr<Call>& call) {
+  if (this->is_unresponsive) {
     return;
   }
   if (!this->EventsAfter(call->after).empty()) {
--- a/Tests/LibPlatform/SimulatedStore.h
+++ b/Tests/LibPlatform/SimulatedStore.h
@@ -1,4 +1,5 @@
-// A store in virtual time that serves watches of one prefix and falls silent.
+// Simulates in virtual time a store that serves watches of one prefix and can
+// stop responding.
 #pragma once
 
 #include <cstdint>
@@ -19,11 +20,12 @@
 
   Store AsStore();
 
-  // What is asked from now on is not answered, nor what waits.
-  void FallSilent();
-  void Return() { this->is_silent = false; }
+  // From now on neither waiting nor arriving watches get an answer.
+  void StopResponding();
+  void Recover() { this->is_unresponsive = false; }
 
-  // Writes a key and answers the watches that wait for it.
+  // Writes a key. Answers the waiting watches, unless the store is
+  // unresponsive.
   void Write(const std::string& key);
 
  private:
@@ -35,7 +37,7 @@
   };
   void Watch(const WatchCall& call,
              std::function<void(Result<WatchAnswer>)> on_done);
-  void Arrive(const std::shared_ptr<Call>& call);
+  void HandleArrival(const std::shared_ptr<Call>& call);
   void Answer(const std::shared_ptr<Call>& call);
   std::vector<StoreItem> EventsAfter(uint64_t revision) const;
 
@@ -44,7 +46,7 @@
   std::vector<StoreItem> history;
   std::list<std::shared_ptr<Call>> waiting;
   uint64_t last_revision = 9;
-  bool is_silent = false;
+  bool is_unresponsive = false;
 };
 
 }  // namespace bramleyspan::platform
--- a/Tests/LibPlatform/TestBackoff.cc
+++ b/Tests/LibPlatform/TestBackoff.cc
@@ -4,8 +4,8 @@
 
 namespace bramleyspan::platform {
 
-// The key-value service comes back from an outage. If all entries return to it
-// at the same moments, their calls push it down again.
+// Failure: the key-value service recovers from an outage, all processes retry
+// at the same moments, and their calls overload it again.
 TEST_CASE("retries are spread and bounded") {
   CHECK(BackoffDelay(1, 0) == std::chrono::milliseconds(125));
   CHECK(BackoffDelay(1, 77'777) != BackoffDelay(1, 0));
--- a/Tests/LibPlatform/TestOwnDocuments.cc
+++ b/Tests/LibPlatform/TestOwnDocuments.cc
@@ -11,24 +11,24 @@
 
 namespace {
 
-// A store that loses answers and carries writes out when the test wants it.
+// A store that can lose answers and execute the writes later.
 struct LossyStore {
   Store store;
   std::map<std::string, StoreItem> items;
   uint64_t revision = 100;
   bool is_losing = false;
   bool is_down = false;
-  std::vector<PutCall> late;
+  std::vector<PutCall> late_writes;
 
   LossyStore() {
     this->store.put = [this](const PutCall& call, const auto& on_done) {
       if (this->is_down) {
         on_done(Fail(ErrorCode::kUnavailable, "store", "503"));
       } else if (this->is_losing) {
-        this->late.push_back(call);
+        this->late_writes.push_back(call);
         on_done(Fail(ErrorCode::kOutcomeUnknown, "store", "timeout"));
       } else {
-        on_done(this->Do(call));
+        on_done(this->Apply(call));
       }
     };
     this->store.range = [this](const RangeCall& call, const auto& on_done) {
@@ -42,7 +42,7 @@
     };
   }
 
-  Result<uint64_t> Do(const PutCall& call) {
+  Result<uint64_t> Apply(const PutCall& call) {
     const auto found = this->items.find(call.key);
     const uint64_t present =
         found == this->items.end() ? 0 : found->second.revision;
@@ -54,9 +54,9 @@
     return this->revision;
   }
 
-  void CarryOutLate() {
-    for (const PutCall& call : std::exchange(this->late, {})) {
-      static_cast<void>(this->Do(call));
+  void ApplyLateWrites() {
+    for (const PutCall& call : std::exchange(this->late_writes, {})) {
+      static_cast<void>(this->Apply(call));
     }
   }
 
@@ -71,68 +71,70 @@
 
 }  // namespace
 
-// The answer of a write is lost, the next write of the same document is done,
-// and the store carries the first one out after it: the document goes back,
-// and the work counted in between is missing from the bill.
-TEST_CASE("a write that is carried out late does not replace a later one") {
-  LossyStore world;
-  OwnDocuments documents(world.store);
-  CHECK(world.Write(documents, "one"));
-  world.is_losing = true;
-  CHECK_FALSE(world.Write(documents, "two"));
-  world.is_losing = false;
-  CHECK(world.Write(documents, "three"));
-  world.CarryOutLate();
-  CHECK(world.items.at("usage/1").value == "three");
-  CHECK(world.Write(documents, "four"));
-  CHECK(world.items.at("usage/1").value == "four");
+// Failure: the answer to a write is lost and the store executes it after the
+// next write of the same document. The document returns to its older state, and
+// the usage counted in between is missing from the bill.
+TEST_CASE("a write that is executed late does not replace a later one") {
+  LossyStore fixture;
+  OwnDocuments documents(fixture.store);
+  CHECK(fixture.Write(documents, "one"));
+  fixture.is_losing = true;
+  CHECK_FALSE(fixture.Write(documents, "two"));
+  fixture.is_losing = false;
+  CHECK(fixture.Write(documents, "three"));
+  fixture.ApplyLateWrites();
+  CHECK(fixture.items.at("usage/1").value == "three");
+  CHECK(fixture.Write(documents, "four"));
+  CHECK(fixture.items.at("usage/1").value == "four");
 }
 
-// The first write of all is the one that comes late: there is no revision yet
-// to tell the two apart, only whether the key exists.
-TEST_CASE("a first write that is carried out late replaces nothing") {
-  LossyStore world;
-  OwnDocuments documents(world.store);
-  world.items["usage/10"] = {
+// The first write of a key has no revision to expect, only that the key does
+// not exist.
+TEST_CASE("a first write that is executed late replaces nothing") {
+  LossyStore fixture;
+  OwnDocuments documents(fixture.store);
+  fixture.items["usage/10"] = {
       .key = "usage/10", .value = "other", .revision = 7};
-  world.is_losing = true;
-  CHECK_FALSE(world.Write(documents, "one"));
-  world.is_losing = false;
-  CHECK(world.Write(documents, "two"));
-  world.CarryOutLate();
-  CHECK(world.items.at("usage/1").value == "two");
+  fixture.is_losing = true;
+  CHECK_FALSE(fixture.Write(documents, "one"));
+  fixture.is_losing = false;
+  CHECK(fixture.Write(documents, "two"));
+  fixture.ApplyLateWrites();
+  CHECK(fixture.items.at("usage/1").value == "two");
 }
 
-// The late write comes before the next one, which is then refused: the one
-// after it must go through, or the document would never be written again.
+// Failure: a late write is executed before the next one, which conflicts.
+// Unless the write after that succeeds, the document is never written again.
 TEST_CASE("a document is written again after a conflict") {
-  LossyStore world;
-  OwnDocuments documents(world.store);
-  CHECK(world.Write(documents, "one"));
-  world.items.at("usage/1").revision = 999;
-  CHECK_FALSE(world.Write(documents, "two"));
-  CHECK(world.Write(documents, "three"));
-  CHECK(world.items.at("usage/1").value == "three");
+  LossyStore fixture;
+  OwnDocuments documents(fixture.store);
+  CHECK(fixture.Write(documents, "one"));
+  fixture.items.at("usage/1").revision = 999;
+  CHECK_FALSE(fixture.Write(documents, "two"));
+  CHECK(fixture.Write(documents, "three"));
+  CHECK(fixture.items.at("usage/1").value == "three");
 }
 
-// Failure: a gateway keeps a revision for each document that it ever wrote.
+// Failure: a gateway keeps a revision for each document that it ever wrote, and
+// its memory use grows.
 TEST_CASE("documents that are not written any more take no memory") {
-  LossyStore world;
-  OwnDocuments documents(world.store);
-  CHECK(world.Write(documents, "one"));
+  LossyStore fixture;
+  OwnDocuments documents(fixture.store);
+  CHECK(fixture.Write(documents, "one"));
   CHECK(documents.known() == 1);
-  documents.ForgetAll();
+  documents.DropRevisions();
   CHECK(documents.known() == 0);
 }
 
-// A store that was down has done nothing: the next write needs no read.
-TEST_CASE("an outage does not make a document unsure") {
-  LossyStore world;
-  OwnDocuments documents(world.store);
-  world.is_down = true;
-  CHECK_FALSE(world.Write(documents, "one"));
-  world.is_down = false;
-  CHECK(world.Write(documents, "two"));
+// A write fails with kUnavailable only if it was not executed, so the known
+// revision stays valid and the next write needs no read.
+TEST_CASE("an unavailable store does not invalidate a known revision") {
+  LossyStore fixture;
+  OwnDocuments documents(fixture.store);
+  fixture.is_down = true;
+  CHECK_FALSE(fixture.Write(documents, "one"));
+  fixture.is_down = false;
+  CHECK(fixture.Write(documents, "two"));
 }
 
 }  // namespace bramleyspan::platform
--- a/Tests/LibPlatform/TestPrefixFeed.cc
+++ b/Tests/LibPlatform/TestPrefixFeed.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-// A store whose answers the test gives.
+// A store whose calls the test answers.
 struct ScriptedStore {
   VirtualTime time;
   Store store;
@@ -23,7 +23,7 @@
   std::vector<std::string> changes;
   std::unique_ptr<PrefixFeed> feed;
 
-  explicit ScriptedStore(Duration rest = Duration(0)) {
+  explicit ScriptedStore(Duration cooldown = Duration(0)) {
     this->store.range = [this](const RangeCall&, auto on_done) {
       this->ranges.push_back(std::move(on_done));
     };
@@ -36,12 +36,13 @@
     events.on_change = [this](const StoreItem& item, FeedSource) {
       this->changes.push_back((item.is_removed ? "-" : "+") + item.key);
     };
-    PrefixFeedSettings settings{.prefix = "servers/",
-                                .rest = rest,
-                                .longest_rest = rest * 4,
-                                .retry_delay = std::chrono::milliseconds(1),
-                                .silence_grace = std::chrono::milliseconds(20),
-                                .return_grace = std::chrono::milliseconds(40)};
+    PrefixFeedSettings settings{
+        .prefix = "servers/",
+        .cooldown = cooldown,
+        .max_cooldown = cooldown * 4,
+        .retry_delay = std::chrono::milliseconds(1),
+        .lag_grace = std::chrono::milliseconds(20),
+        .recovery_grace = std::chrono::milliseconds(40)};
     this->feed = std::make_unique<PrefixFeed>(this->time.timers(), this->store,
                                               settings, events);
     this->feed->Start();
@@ -78,9 +79,9 @@
   CHECK(fixture.watched_after.back() == 12);
 }
 
-// Story: a server that had left got work for a minute. The store had dropped
-// its history while the watch was away, and with it the server's removal.
-TEST_CASE("A feed whose history is gone reads the prefix again") {
+// Failure: a server that had left got requests for a minute. The store had
+// dropped its history, with the removal of the server, between two watches.
+TEST_CASE("A feed reads the prefix again if its history is gone") {
   ScriptedStore fixture;
   fixture.AnswerRange({{"servers/a", "1", 5}, {"servers/b", "1", 6}}, 9);
   fixture.FailWatch(ErrorCode::kHistoryGone);
@@ -88,18 +89,19 @@
   CHECK(fixture.changes.back() == "-servers/a");
 }
 
-TEST_CASE("A failed watch goes on from where it was") {
+TEST_CASE("A watch is retried from the same revision") {
   ScriptedStore fixture;
   fixture.AnswerRange({}, 9);
   fixture.FailWatch(ErrorCode::kOutcomeUnknown);
-  CHECK_FALSE(fixture.feed->is_reached());
+  CHECK_FALSE(fixture.feed->is_reachable());
   fixture.RunFor(std::chrono::milliseconds(20));
   CHECK(fixture.watched_after == std::vector<uint64_t>{9, 9});
 }
 
-// Story: all servers were taken for gone when the store came back. Their leases
-// had run out while it was down, and they were listed again a second later.
-TEST_CASE("What vanished while the store was away may come back") {
+// Failure: all servers were dropped when the store recovered from an outage.
+// Their leases had expired meanwhile, and they registered again a second later.
+TEST_CASE(
+    "Keys removed during an outage of the store stay for a grace period") {
   ScriptedStore fixture;
   fixture.AnswerRange({{"servers/a", "1", 5}, {"servers/b", "1", 6}}, 9);
   fixture.FailWatch(ErrorCode::kUnavailable);
@@ -113,9 +115,9 @@
   CHECK_FALSE(fixture.feed->items().at("servers/a").is_removed);
 }
 
-// Story: an entry that the store turned away sent work to a server that had
-// left; its peers had known for seconds.
-TEST_CASE("What a peer knows is taken by revision, and never goes back") {
+// Failure: a gateway that the store refused sent requests to a server that had
+// left, though its peers had the removal for seconds.
+TEST_CASE("Updates of a peer are merged by revision, older ones dropped") {
   ScriptedStore fixture;
   fixture.AnswerRange({{"servers/a", "1", 5}}, 9);
   fixture.feed->Merge({{"servers/a", "", 15, true}}, 0);
@@ -126,120 +128,121 @@
   CHECK(fixture.feed->items().at("servers/a").is_removed);
 }
 
-// Story: at a start each of 42 gateways asked the store anew for each of 67
-// servers that registered, and calls cost a tenth of what the day earned.
-TEST_CASE("After changes a feed rests, so that a burst costs one watch") {
+// Failure: at a start each of 42 gateways sent the store a new watch for each
+// of 67 servers that registered. The calls cost a tenth of the day's revenue.
+TEST_CASE("The next watch after changes is delayed: a burst costs one call") {
   ScriptedStore fixture(std::chrono::milliseconds(10));
   fixture.AnswerRange({}, 9);
   fixture.AnswerWatch({{"servers/a", "1", 11}}, 11);
   CHECK(fixture.watched_after.size() == 1);
   fixture.RunFor(std::chrono::milliseconds(30));
   CHECK(fixture.watched_after == std::vector<uint64_t>{9, 11});
-  SUBCASE("An answer without changes is followed at once") {
+  SUBCASE("The next watch after an answer without changes is not delayed") {
     fixture.AnswerWatch({}, 15);
     CHECK(fixture.watched_after.back() == 15);
   }
 }
 
-// Story: desired states came every 80 ms for two seconds, and nine gateways
-// asked the store anew after each.
-TEST_CASE("A feed rests for longer while changes go on") {
-  constexpr Duration kRest = std::chrono::milliseconds(10);
-  ScriptedStore fixture(kRest);
+// Failure: desired states came every 80 ms for two seconds, and each of nine
+// gateways sent the store a new watch after each.
+TEST_CASE("The delay after changes grows while they continue") {
+  constexpr Duration kCooldown = std::chrono::milliseconds(10);
+  ScriptedStore fixture(kCooldown);
   fixture.AnswerRange({}, 9);
   fixture.AnswerWatch({{"servers/a", "1", 11}}, 11);
-  fixture.RunFor(kRest * 2);
+  fixture.RunFor(kCooldown * 2);
   REQUIRE(fixture.watched_after == std::vector<uint64_t>{9, 11});
-  // The next rest is twice as long.
+  // The next cooldown is twice as long.
   fixture.AnswerWatch({{"servers/a", "1", 12}}, 12);
-  fixture.RunFor(kRest * 3 / 2);
+  fixture.RunFor(kCooldown * 3 / 2);
   CHECK(fixture.watched_after.size() == 2);
-  fixture.RunFor(kRest * 3 / 2);
+  fixture.RunFor(kCooldown * 3 / 2);
   CHECK(fixture.watched_after == std::vector<uint64_t>{9, 11, 12});
 }
 
-// Story: only a few gateways notice soon that a channel to the store has fallen
-// silent. The others' watches wait for long, and a server that left got work
-// from them for eight seconds, though they had heard of it from a peer.
-TEST_CASE("A watch that does not tell what a peer knows starts over") {
+// Failure: passive gateways have long watches and notice late that a connection
+// to the store is unresponsive. A server that had left got requests from them
+// for eight seconds, though a peer had sent them the removal.
+TEST_CASE("A watch that lacks a change received from a peer is restarted") {
   ScriptedStore fixture;
   fixture.AnswerRange({{"servers/a", "1", 5}}, 9);
   fixture.feed->Merge({{"servers/a", "", 15, true}}, 0);
   CHECK(fixture.changes.back() == "-servers/a");
-  SUBCASE("it is silent") {
+  SUBCASE("it returns nothing") {
     fixture.RunFor(std::chrono::milliseconds(40));
     CHECK(fixture.watched_after == std::vector<uint64_t>{9, 9});
   }
-  SUBCASE("it tells a moment later") {
+  SUBCASE("it returns the change a moment later") {
     fixture.AnswerWatch({{"servers/a", "", 15, true}}, 16);
     fixture.RunFor(std::chrono::milliseconds(40));
     CHECK(fixture.watched_after == std::vector<uint64_t>{9, 16});
   }
 }
 
-// Story: the gateways that watched closely were killed, and those that took
-// over first sat out the long watch that they had begun.
-TEST_CASE("A shorter wait holds at once, a longer one with the next watch") {
+// Failure: the active watchers were killed, and those that replaced them first
+// waited for the end of the long watch that they had begun.
+TEST_CASE("A shorter wait applies at once, a longer one to the next watch") {
   ScriptedStore fixture;
   fixture.AnswerRange({}, 9);
-  fixture.feed->SetWatching(std::chrono::seconds(8), Duration(0));
+  fixture.feed->SetWatchTiming(std::chrono::seconds(8), Duration(0));
   CHECK(fixture.waits.size() == 1);
   fixture.AnswerWatch({}, 10);
   CHECK(fixture.waits.back() == std::chrono::seconds(8));
-  fixture.feed->SetWatching(std::chrono::seconds(2), Duration(0));
+  fixture.feed->SetWatchTiming(std::chrono::seconds(2), Duration(0));
   CHECK(fixture.waits.size() == 3);
   CHECK(fixture.waits.back() == std::chrono::seconds(2));
 }
 
-// Failure: 149 gateways each had every change from the store, which all of them
-// had from a peer too; their calls were the dearest of all that they did.
-TEST_CASE("A feed that hears from peers asks now and then") {
+// Failure: 149 gateways each got every change from the store, though all of
+// them got it from a peer too. Nothing that they did cost more than these
+// calls.
+TEST_CASE("A feed that gets updates from peers watches with pauses") {
   constexpr Duration kPause = std::chrono::milliseconds(30);
   ScriptedStore fixture;
   fixture.AnswerRange({{"servers/a", "1", 5}}, 9);
-  fixture.feed->SetWatching(std::chrono::milliseconds(1), kPause);
+  fixture.feed->SetWatchTiming(std::chrono::milliseconds(1), kPause);
   fixture.AnswerWatch({}, 10);
   CHECK(fixture.watched_after == std::vector<uint64_t>{9});
-  SUBCASE("after the pause") {
+  SUBCASE("it watches after the pause") {
     fixture.RunFor(kPause * 2);
     CHECK(fixture.watched_after == std::vector<uint64_t>{9, 10});
   }
-  SUBCASE("from where whole news of a peer end") {
+  SUBCASE("it watches from the end of complete updates of a peer") {
     fixture.feed->Merge({{"servers/a", "2", 15}}, 16);
     fixture.RunFor(kPause * 2);
     CHECK(fixture.watched_after == std::vector<uint64_t>{9, 16});
   }
-  SUBCASE("sooner where a peer's news are not whole") {
+  SUBCASE("it watches sooner if a peer's updates are incomplete") {
     fixture.feed->Merge({{"servers/a", "2", 15}}, 0);
     fixture.RunFor(std::chrono::milliseconds(25));
     CHECK(fixture.watched_after == std::vector<uint64_t>{9, 10});
   }
-  SUBCASE("also where the store does not answer") {
+  SUBCASE("if the store does not answer") {
     fixture.RunFor(kPause * 2);
     fixture.FailWatch(ErrorCode::kConnectionFailed);
     fixture.RunFor(kPause / 2);
     CHECK(fixture.watched_after == std::vector<uint64_t>{9, 10});
-    SUBCASE("after the pause") {
+    SUBCASE("it retries after the pause") {
       fixture.RunFor(kPause);
       CHECK(fixture.watched_after == std::vector<uint64_t>{9, 10, 10});
     }
-    SUBCASE("and at once where it is to watch closely") {
-      fixture.feed->SetWatching(std::chrono::seconds(2), Duration(0));
+    SUBCASE("it retries at once if it becomes an active watcher") {
+      fixture.feed->SetWatchTiming(std::chrono::seconds(2), Duration(0));
       CHECK(fixture.watched_after == std::vector<uint64_t>{9, 10, 10});
     }
   }
-  SUBCASE("at once where it is to watch closely") {
-    fixture.feed->SetWatching(std::chrono::seconds(2), Duration(0));
+  SUBCASE("it watches at once if it becomes an active watcher") {
+    fixture.feed->SetWatchTiming(std::chrono::seconds(2), Duration(0));
     CHECK(fixture.watched_after == std::vector<uint64_t>{9, 10});
   }
 }
 
-TEST_CASE("Only what is held whole is told as whole") {
+TEST_CASE("A feed reports itself complete only if it lacks no change") {
   ScriptedStore fixture;
   CHECK(fixture.feed->complete_to() == 0);
   fixture.AnswerRange({{"servers/a", "1", 5}, {"servers/b", "1", 6}}, 9);
   CHECK(fixture.feed->complete_to() == 9);
-  SUBCASE("not while the store has just come back") {
+  SUBCASE("not while the store has just recovered") {
     fixture.FailWatch(ErrorCode::kConnectionFailed);
     fixture.RunFor(std::chrono::milliseconds(5));
     fixture.AnswerWatch({}, 10);
@@ -247,9 +250,9 @@
     fixture.RunFor(std::chrono::milliseconds(60));
     CHECK(fixture.feed->complete_to() == 10);
   }
-  SUBCASE("not while a removal is held") {
-    fixture.feed->SetWatching(std::chrono::milliseconds(1),
-                              std::chrono::milliseconds(10));
+  SUBCASE("not while a removal is deferred") {
+    fixture.feed->SetWatchTiming(std::chrono::milliseconds(1),
+                                 std::chrono::milliseconds(10));
     fixture.AnswerWatch({{"servers/a", "", 12, true}}, 12);
     CHECK(fixture.feed->complete_to() == 0);
     fixture.RunFor(std::chrono::milliseconds(60));
@@ -258,24 +261,26 @@
   }
 }
 
-// Failure: leases ran out while the store was away. A feed that asks now and
-// then had not noticed, and dropped all servers as soon as it asked.
-TEST_CASE("A feed that asks now and then holds what vanished") {
+// Failure: leases expired during an outage of the store. A feed that watches
+// with pauses had not noticed the outage, and dropped all servers at its next
+// watch.
+TEST_CASE("A feed that watches with pauses defers removals") {
   ScriptedStore fixture;
   fixture.AnswerRange({{"servers/a", "1", 5}}, 9);
-  fixture.feed->SetWatching(std::chrono::milliseconds(1),
-                            std::chrono::milliseconds(10));
+  fixture.feed->SetWatchTiming(std::chrono::milliseconds(1),
+                               std::chrono::milliseconds(10));
   fixture.AnswerWatch({{"servers/a", "", 12, true}}, 12);
   CHECK(fixture.changes.back() == "+servers/a");
-  // Failure: news were asked for from where the own watch stood, past what was
-  // held back, and a server that was gone got work for two seconds.
-  CHECK(fixture.feed->news_from() < 12);
-  SUBCASE("it is back") {
+  // Failure: updates after the revision of the own watch were requested from a
+  // peer, past the deferred removal, and a server that had left got requests
+  // for two seconds.
+  CHECK(fixture.feed->updates_from() < 12);
+  SUBCASE("the key is written again") {
     fixture.feed->Merge({{"servers/a", "1", 13}}, 0);
     fixture.RunFor(std::chrono::milliseconds(60));
     CHECK(fixture.changes.back() == "+servers/a");
   }
-  SUBCASE("a peer knows that it is gone") {
+  SUBCASE("a peer sends the removal") {
     fixture.feed->Merge({{"servers/a", "", 12, true}}, 12);
     CHECK(fixture.changes.back() == "-servers/a");
   }
--- a/Tests/LibPlatform/VirtualTime.h
+++ b/Tests/LibPlatform/VirtualTime.h
@@ -1,4 +1,4 @@
-// Time that passes as a test says.
+// A clock and timers that a test advances.
 #pragma once
 
 #include <functional>
