--- a/Libraries/LibMembership/Members.cc
+++ b/Libraries/LibMembership/Members.cc
@@ -27,9 +27,10 @@
          record.caller_address != known.caller_address;
 }
 
-// Returns the count of sends at which a changed record starts: a little below
-// the lowest of all, so that it is sent ahead of the others for a while. From 0
-// it would be, until it had caught up with records that are known for long.
+// Returns the value of `times_sent` for a changed record: a little below the
+// lowest of all, so that the record is sent ahead of the others a few times.
+// From 0 it would be sent in every heartbeat until it had been sent as often as
+// records that are known for long.
 uint64_t InitialTimesSent(const Members& members) {
   constexpr uint64_t kTimesBeforeUnchanged = 8;
   uint64_t least = UINT64_MAX;
@@ -41,7 +42,8 @@
              : least - kTimesBeforeUnchanged;
 }
 
-// Digests of an earlier incarnation must not count as updates of this one.
+// Removes the digest keys of a member that has restarted or is removed. Digests
+// of an earlier incarnation must not count as updates of the present one.
 void RemoveKeys(Members& members, const std::string& name) {
   std::erase_if(members.names_by_key,
                 [&name](const auto& item) { return item.second == name; });
