--- a/Services/bramleyspand/Gateway/Feeds.cc
+++ b/Services/bramleyspand/Gateway/Feeds.cc
@@ -89,14 +89,15 @@
         on_change) {
   platform::FeedEvents events;
   events.on_change = std::move(on_change);
-  events.on_reach = [name](const platform::ReachChange& change) {
-    Log(change.is_reached ? LogLevel::kInfo : LogLevel::kWarning, "feeds",
-        change.is_reached ? "store_regained" : "store_lost",
-        {{"feed", name},
-         {"reason", change.reason},
-         {"unheard_ms", Milliseconds(change.unheard)},
-         {"failed_calls", std::to_string(change.failures)}});
-  };
+  events.on_reachability_change =
+      [name](const platform::ReachabilityChange& change) {
+        Log(change.is_reachable ? LogLevel::kInfo : LogLevel::kWarning, "feeds",
+            change.is_reachable ? "store_regained" : "store_lost",
+            {{"feed", name},
+             {"reason", change.reason},
+             {"unheard_ms", Milliseconds(change.unanswered_for)},
+             {"failed_calls", std::to_string(change.failures)}});
+      };
   events.on_failure = [name](const platform::FailedCall& failed) {
     Log(LogLevel::kInfo, "feeds", "store_unanswered",
         {{"feed", name},
@@ -115,8 +116,8 @@
                 std::function<void()> on_target) {
   state.table_feed = std::make_unique<platform::PrefixFeed>(
       TimersOf(state.loop), state.store,
-      platform::CloseFeedSettings(state.adapter.table_prefix,
-                                  state.fleet().notice_bound),
+      platform::ActiveFeedSettings(state.adapter.table_prefix,
+                                   state.fleet().notice_bound),
       EventsOf("table", [&state, on_table = std::move(on_table)](
                             const platform::StoreItem& item,
                             platform::FeedSource source) {
@@ -124,8 +125,8 @@
       }));
   state.targets_feed = std::make_unique<platform::PrefixFeed>(
       TimersOf(state.loop), state.store,
-      platform::CloseFeedSettings(state.adapter.targets_prefix,
-                                  state.fleet().notice_bound),
+      platform::ActiveFeedSettings(state.adapter.targets_prefix,
+                                   state.fleet().notice_bound),
       EventsOf("targets",
                [&state, on_target = std::move(on_target)](
                    const platform::StoreItem& item, platform::FeedSource) {
@@ -138,15 +139,15 @@
 
 void AdjustWatches(GatewayState& state, TimePoint now) {
   const bool is_active =
-      membership::is_close_watcher(state.members, state.incarnation, now);
+      membership::is_active_watcher(state.members, state.incarnation, now);
   if (std::exchange(state.is_active_watcher, is_active) == is_active) {
     return;
   }
   Log(LogLevel::kInfo, "feeds", "watching",
       {{"how", is_active ? "closely" : "relaxed"},
        {"gateways",
-        std::to_string(membership::CountEntries(state.members, now))}});
-  Duration wait = platform::CloseWatchWait(state.fleet().notice_bound);
+        std::to_string(membership::CountGateways(state.members, now))}});
+  Duration wait = platform::ActiveWatchWait(state.fleet().notice_bound);
   Duration pause{};
   if (!is_active && membership::is_large(state.members)) {
     wait = kLargeFleetWait;
@@ -154,8 +155,8 @@
   } else if (!is_active) {
     wait = kPassiveWait;
   }
-  state.table_feed->SetWatching(wait, pause);
-  state.targets_feed->SetWatching(wait, pause);
+  state.table_feed->SetWatchTiming(wait, pause);
+  state.targets_feed->SetWatchTiming(wait, pause);
 }
 
 }  // namespace bramleyspan::gatewayd
--- a/Services/bramleyspand/Gateway/Forwarding.cc
+++ b/Services/bramleyspand/Gateway/Forwarding.cc
@@ -58,7 +58,7 @@
 
 gateway::Sharing SharingOf(const GatewayState& state, TimePoint now) {
   gateway::Sharing sharing;
-  for (const auto* other : membership::LiveEntries(state.members, now)) {
+  for (const auto* other : membership::LiveGateways(state.members, now)) {
     ++sharing.gateways;
     sharing.others_waiting += other->member.is_hungry ? 1 : 0;
   }
@@ -184,7 +184,7 @@
       this->failed_connections > kMaxFailedConnections) {
     return false;
   }
-  const size_t gateways = membership::CountEntries(this->state.members, now);
+  const size_t gateways = membership::CountGateways(this->state.members, now);
   if (has_reached_target &&
       !gateway::TakeRepeat(this->state.repeats, this->service, gateways, now)) {
     Log(LogLevel::kWarning, "forward", "no_budget", {{"request", this->id}});
@@ -233,7 +233,7 @@
 
 gateway::RefusalReason Forwarding::FindRefusalReason() const {
   if (this->table == nullptr) {
-    return this->state.table_feed->is_reached()
+    return this->state.table_feed->is_reachable()
                ? gateway::RefusalReason::kStarting
                : gateway::RefusalReason::kStoreUnavailable;
   }
--- a/Services/bramleyspand/Gateway/GatewayRole.cc
+++ b/Services/bramleyspand/Gateway/GatewayRole.cc
@@ -252,7 +252,7 @@
       addresses.push_back(Format(*this->state.fleet().callers));
     }
     for (const auto* known :
-         membership::LiveEntries(this->state.members, now)) {
+         membership::LiveGateways(this->state.members, now)) {
       if (addresses.size() < kMaxAddresses) {
         addresses.push_back(known->member.caller_address);
       }
@@ -435,11 +435,12 @@
           {"usual_pause_ms", group.pause_quantile.count() / 1000}};
     }
     for (const auto& [name, known] : this->state.members.known) {
-      dump["members"][name] = {{"ip", known.member.ip},
-                               {"is_ready", known.member.is_ready},
-                               {"is_leaving", known.member.is_leaving},
-                               {"table_version", known.member.table_version},
-                               {"age_ms", (now - known.heard).count() / 1000}};
+      dump["members"][name] = {
+          {"ip", known.member.ip},
+          {"is_ready", known.member.is_ready},
+          {"is_leaving", known.member.is_leaving},
+          {"table_version", known.member.table_version},
+          {"age_ms", (now - known.received_at).count() / 1000}};
     }
     return dump;
   }
--- a/Services/bramleyspand/Gateway/MemberRecords.cc
+++ b/Services/bramleyspand/Gateway/MemberRecords.cc
@@ -26,8 +26,9 @@
 
 Duration MemberRecords::Interval() const {
   const size_t gateways =
-      membership::CountEntries(this->state.members, EventLoop::Now());
-  const auto factor = static_cast<int>(gateways / membership::kAllPeers);
+      membership::CountGateways(this->state.members, EventLoop::Now());
+  const auto factor =
+      static_cast<int>(gateways / membership::kMaxFullMeshPeers);
   return kMinInterval * std::clamp(factor, 1, kMaxIntervalFactor);
 }
 
@@ -38,8 +39,8 @@
         if (page.has_value()) {
           for (const auto& item : page.value().items) {
             if (item.value != this->state.settings.ip) {
-              membership::AddHint(this->state.members, item.value,
-                                  EventLoop::Now());
+              membership::AddSeedAddress(this->state.members, item.value,
+                                         EventLoop::Now());
             }
           }
         }
--- a/Services/bramleyspand/Gateway/Peers.cc
+++ b/Services/bramleyspand/Gateway/Peers.cc
@@ -44,12 +44,12 @@
 
 void Peers::Tick() {
   const TimePoint now = EventLoop::Now();
-  membership::Forget(this->state.members, now);
+  membership::RemoveExpired(this->state.members, now);
   AdjustWatches(this->state, now);
   // Seeds in the settings stay hints for good, whether they are running or not.
   for (const std::string& ip : this->state.fleet().seeds) {
     if (ip != this->state.settings.ip) {
-      membership::AddHint(this->state.members, ip, now);
+      membership::AddSeedAddress(this->state.members, ip, now);
     }
   }
   this->SendHeartbeats();
@@ -73,10 +73,10 @@
   membership::wire::HeartbeatT heartbeat;
   heartbeat.members.push_back(std::make_unique<MemberT>(self));
   for (const MemberT* member :
-       membership::NextToTell(this->state.members, now)) {
+       membership::RecordsToSend(this->state.members, now)) {
     heartbeat.members.push_back(std::make_unique<MemberT>(*member));
   }
-  heartbeat.signs = membership::SignsToTell(this->state.members, now);
+  heartbeat.signs = membership::DigestsToSend(this->state.members, now);
   const std::string bytes = membership::Encode(std::move(heartbeat));
   for (const std::string& ip :
        membership::PeersForHeartbeat(this->state.members, this->round)) {
@@ -103,7 +103,7 @@
   self.targets_revision = own.targets_feed->newest_revision();
   self.is_hungry = !own.waiting.empty();
   self.hears_store =
-      own.table_feed->is_reached() && own.targets_feed->is_reached();
+      own.table_feed->is_reachable() && own.targets_feed->is_reachable();
   for (const auto& [id, view] : own.targets.by_id) {
     // The agent of a rank knows its load better than these counts, which would
     // fill the heartbeats of every gateway.
@@ -118,7 +118,7 @@
     count->open = static_cast<uint16_t>(view.open);
     self.open.push_back(std::move(count));
   }
-  membership::Stamp(this->state.members, self);
+  membership::AdvanceOwnRecord(this->state.members, self);
   return self;
 }
 
@@ -152,8 +152,8 @@
     }
   }
   membership::wire::MemberQueryT query;
-  query.keys = membership::TakeSigns(this->state.members, heartbeat.signs,
-                                     EventLoop::Now());
+  query.keys = membership::ApplyDigests(this->state.members, heartbeat.signs,
+                                        EventLoop::Now());
   if (!query.keys.empty()) {
     this->Send(from_ip, membership::Encode(std::move(query)));
   }
@@ -179,7 +179,7 @@
   const bool is_restarted =
       found != this->state.members.known.end() &&
       found->second.member.incarnation != member.incarnation;
-  if (!membership::Learn(this->state.members, member, is_direct, now)) {
+  if (!membership::Merge(this->state.members, member, is_direct, now)) {
     return;
   }
   if (!was_alive || is_restarted) {
@@ -241,7 +241,7 @@
   this->last_fetch = now;
   const std::string query =
       "/v1/news?table=" + std::to_string(own_version) +
-      "&targets=" + std::to_string(own.targets_feed->news_from());
+      "&targets=" + std::to_string(own.targets_feed->updates_from());
   http::DirectCall::Fetch(
       this->state.loop,
       {.target = {member.ip, this->state.fleet().peer_port},
--- a/Services/bramleyspand/Gateway/RankAgents.cc
+++ b/Services/bramleyspand/Gateway/RankAgents.cc
@@ -80,10 +80,10 @@
 
 void RankAgents::UpdateTargets(TimePoint now) {
   std::erase_if(this->ranks, [now](const auto& item) {
-    return now - item.second.received_at > membership::kForgetAfter;
+    return now - item.second.received_at > membership::kRemoveAfter;
   });
   std::erase_if(this->direct_agents, [now](const auto& item) {
-    return now - item.second > membership::kForgetAfter;
+    return now - item.second > membership::kRemoveAfter;
   });
   for (auto& [id, view] : this->state.targets.by_id) {
     if (view.is_replaced) {
@@ -122,7 +122,7 @@
   membership::wire::HeartbeatT heartbeat;
   heartbeat.is_asking = is_asking;
   heartbeat.members.push_back(TrimForAgents(self));
-  for (const MemberT* member : membership::MembersToTell(
+  for (const MemberT* member : membership::GatewaysForAgent(
            this->state.members, this->round, kOtherGatewaysPerHeartbeat,
            EventLoop::Now())) {
     heartbeat.members.push_back(TrimForAgents(*member));
--- a/Services/bramleyspand/Gateway/UsageRecorder.cc
+++ b/Services/bramleyspand/Gateway/UsageRecorder.cc
@@ -105,7 +105,7 @@
     return;
   }
   if (usage::ForgetWindows(this->aggregator, WindowNow(this->ledger))) {
-    this->documents.ForgetAll();
+    this->documents.DropRevisions();
   }
   std::exchange(this->on_all_written, [] {})();
 }
@@ -130,7 +130,7 @@
           for (const auto& item : page.value().items) {
             const auto window = usage::WindowOfKey(item.key);
             if (window && *window < oldest &&
-                old.size() < platform::kMostRemovedKeys) {
+                old.size() < platform::kMaxRemovedKeys) {
               old.push_back(item.key);
             }
           }
