--- a/Libraries/LibCalls/AgentCalls.cc
+++ b/Libraries/LibCalls/AgentCalls.cc
@@ -152,7 +152,7 @@
   } else if (verdict == Verdict::kNotRun) {
     claims::RefuseClaim(calls.claims, forwarded.claim);
   } else {
-    claims::LoseClaim(calls.claims, forwarded.claim);
+    claims::MarkClaimUnknown(calls.claims, forwarded.claim);
   }
 }
 
--- a/Libraries/LibClaims/Claims.cc
+++ b/Libraries/LibClaims/Claims.cc
@@ -22,7 +22,7 @@
 // The oldest epoch whose keys are young enough to be remembered.
 uint64_t OldestEpochByAge(const ClaimRegistry& registry, TimePoint now) {
   const uint64_t current = EpochAt(registry, now);
-  const uint64_t kept = registry.settings.remembered_epochs;
+  const uint64_t kept = registry.settings.retained_epochs;
   return current > kept ? current - kept : 0;
 }
 
@@ -111,7 +111,7 @@
   }
 }
 
-void ForgetEpochsBefore(ClaimRegistry& registry, uint64_t oldest) {
+void RemoveEpochsBefore(ClaimRegistry& registry, uint64_t oldest) {
   registry.oldest_epoch = std::max(registry.oldest_epoch, oldest);
   const auto end = registry.records.lower_bound(registry.oldest_epoch);
   for (auto epoch = registry.records.begin(); epoch != end;) {
@@ -143,7 +143,7 @@
     if (is_newest) {
       return false;
     }
-    ForgetEpochsBefore(registry, oldest->first + 1);
+    RemoveEpochsBefore(registry, oldest->first + 1);
   }
   return true;
 }
@@ -270,7 +270,7 @@
   EvictAnswers(registry);
 }
 
-void LoseClaim(ClaimRegistry& registry, const std::string& key) {
+void MarkClaimUnknown(ClaimRegistry& registry, const std::string& key) {
   if (ClaimRecord* record = FindRunning(registry, key)) {
     record->state = ClaimState::kUnknown;
   }
@@ -281,13 +281,13 @@
   return FindRecord(registry, key);
 }
 
-void ForgetOldEpochs(ClaimRegistry& registry, TimePoint now) {
-  ForgetEpochsBefore(registry, OldestEpochByAge(registry, now));
+void RemoveExpiredEpochs(ClaimRegistry& registry, TimePoint now) {
+  RemoveEpochsBefore(registry, OldestEpochByAge(registry, now));
 }
 
 Duration RetentionOf(const ClaimRegistry& registry) {
   return registry.settings.epoch_length *
-         static_cast<int64_t>(registry.settings.remembered_epochs);
+         static_cast<int64_t>(registry.settings.retained_epochs);
 }
 
 }  // namespace bramleyspan::claims
--- a/Libraries/LibClaims/Claims.h
+++ b/Libraries/LibClaims/Claims.h
@@ -17,7 +17,7 @@
 // How long keys are remembered, and how much memory that may take.
 struct ClaimSettings {
   Duration epoch_length = std::chrono::minutes(1);
-  uint64_t remembered_epochs = 10;
+  uint64_t retained_epochs = 10;
   size_t most_records = 200'000;
   size_t most_answer_bytes = 64 << 20;
   size_t largest_answer = 1 << 20;
@@ -141,7 +141,7 @@
                  StoredAnswer answer);
 
 // Records that a running key's call ended without a whole answer.
-void LoseClaim(ClaimRegistry& registry, const std::string& key);
+void MarkClaimUnknown(ClaimRegistry& registry, const std::string& key);
 
 // The record of a key, if it is remembered.
 const ClaimRecord* FindClaim(const ClaimRegistry& registry,
@@ -149,7 +149,7 @@
 
 // Forgets the epochs that are too old; their keys are kIsUnknown from now on.
 // Keys that are still running stay until their call ends.
-void ForgetOldEpochs(ClaimRegistry& registry, TimePoint now);
+void RemoveExpiredEpochs(ClaimRegistry& registry, TimePoint now);
 
 // How long a key issued now is remembered at least, unless memory runs out.
 Duration RetentionOf(const ClaimRegistry& registry);
--- a/Libraries/LibClaims/Seal.h
+++ b/Libraries/LibClaims/ClosingRecord.h
@@ -12,7 +12,7 @@
 namespace bramleyspan::claims {
 
 // What became of all keys of one agent incarnation.
-struct ClaimsSeal {
+struct ClosingRecord {
   std::string agent;
   uint64_t incarnation = 0;
   // Keys of older epochs are forgotten and may have run.
@@ -24,30 +24,33 @@
 // Seals a registry. The agent must refuse every new key by now, and no call
 // may be running; a key that is nevertheless running counts as one that may
 // have run.
-ClaimsSeal SealClaims(const ClaimRegistry& registry);
+ClosingRecord MakeClosingRecord(const ClaimRegistry& registry);
 
 // The seals that a process was given.
-struct SealBook {
+struct ClosingRecords {
   // A key is of use for no longer than an agent remembers it.
   Duration keep = std::chrono::minutes(15);
-  std::map<std::pair<std::string, uint64_t>, ClaimsSeal> seals;
+  std::map<std::pair<std::string, uint64_t>, ClosingRecord> closing_records;
   std::map<std::pair<std::string, uint64_t>, TimePoint> received;
 };
 
 // Takes a seal; returns false if it was known.
-bool AddSeal(SealBook& book, ClaimsSeal seal, TimePoint now);
+bool AddClosingRecord(ClosingRecords& book,
+                      ClosingRecord closing_record,
+                      TimePoint now);
 
-void ForgetOldSeals(SealBook& book, TimePoint now);
+void RemoveOldClosingRecords(ClosingRecords& book, TimePoint now);
 
-enum class SealDecision {
+enum class ClosingRecordDecision {
   // Only the key's agent can tell, if anybody.
-  kNotSealed,
+  kNoClosingRecord,
   // The call did not run and never will.
   kNotRun,
   // The call may have run; nobody has its answer any more.
   kMayHaveRun,
 };
 
-SealDecision DecideBySeal(const SealBook& book, const ClaimKey& key);
+ClosingRecordDecision DecideByClosingRecord(const ClosingRecords& book,
+                                            const ClaimKey& key);
 
 }  // namespace bramleyspan::claims
--- a/Libraries/LibLimits/Grants.h
+++ b/Libraries/LibLimits/Grants.h
@@ -20,28 +20,28 @@
   // A grant not used by then is void.
   Duration grant_lifetime = std::chrono::milliseconds(500);
   // An entry asks for what it expects to use in this time.
-  Duration ask_ahead = std::chrono::milliseconds(200);
+  Duration request_horizon = std::chrono::milliseconds(200);
   // Without a reply after this time the keeper counts as unreachable.
-  Duration ask_timeout = std::chrono::milliseconds(50);
+  Duration request_timeout = std::chrono::milliseconds(50);
   // After this time without a keeper an entry asks again.
-  Duration ask_again = std::chrono::milliseconds(500);
+  Duration request_retry_interval = std::chrono::milliseconds(500);
   // The bucket holds what the rate brings in this time.
   Duration burst = std::chrono::milliseconds(500);
 };
 
 // The keeper of an owner among the names of live entries; empty for none.
-std::string KeeperOf(std::string_view owner,
-                     const std::vector<std::string>& entries);
+std::string AllocatorOf(std::string_view owner,
+                        const std::vector<std::string>& entries);
 
 // The keeper's side of one limit.
-struct Keeper {
+struct Allocator {
   TokenBucket bucket;
 };
 
 // Sets the rate that a keeper hands out: `limit` a second, times the share of
 // the entries that it reaches. A new keeper starts with an empty bucket: what
 // its predecessor handed out may still be in use.
-void SetLimit(Keeper& keeper,
+void SetLimit(Allocator& allocator,
               const GrantSettings& settings,
               double limit,
               size_t reached_entries,
@@ -50,10 +50,13 @@
 
 // An entry asks for `wanted`; returns what it is granted, at most an even share
 // of the bucket among `askers` if `wanted` exceeds that.
-double HandleAsk(Keeper& keeper, double wanted, size_t askers, TimePoint now);
+double HandleGrantRequest(Allocator& allocator,
+                          double wanted,
+                          size_t requesters,
+                          TimePoint now);
 
 // When the keeper will have something to grant again.
-Duration RetryAfterOf(const Keeper& keeper);
+Duration RetryAfterOf(const Allocator& allocator);
 
 // An entry's side of one limit.
 struct Share {
@@ -64,26 +67,26 @@
   TimePoint granted_until;
   // The floor. It fills only while the keeper is unreachable.
   TokenBucket floor;
-  bool is_on_floor = false;
+  bool is_using_fallback = false;
   // The outstanding ask, if any.
-  bool is_asking = false;
-  TimePoint asked_at;
-  uint64_t ask = 0;
+  bool is_requesting = false;
+  TimePoint requested_at;
+  uint64_t request_number = 0;
   // Decayed use, in units a second, by which it asks ahead.
   double rate = 0;
   TimePoint rate_at;
 };
 
-enum class Admittance {
+enum class SpendOutcome {
   kAdmit,
   // Over the limit; refuse at once.
   kRefuse,
-  // Ask the keeper; the request waits for the reply, ask_timeout at most.
-  kAsk,
+  // Ask the keeper; the request waits for the reply, request_timeout at most.
+  kRequestGrant,
 };
 
 struct ShareDecision {
-  Admittance admittance = Admittance::kRefuse;
+  SpendOutcome outcome = SpendOutcome::kRefuse;
   Duration retry_after{};
 };
 
@@ -95,10 +98,10 @@
 
 // How much to ask the keeper for while `pending` waits at this entry. Marks the
 // ask as outstanding; its number goes with the reply.
-double StartAsk(Share& share,
-                const GrantSettings& settings,
-                double pending,
-                TimePoint now);
+double StartGrantRequest(Share& share,
+                         const GrantSettings& settings,
+                         double pending,
+                         TimePoint now);
 
 // The keeper's reply to ask number `ask`; late ones are dropped, because the
 // entry may have lived on its floor since. After an empty grant the entry
@@ -106,17 +109,17 @@
 // bring the whole overload to the keeper.
 void HandleGrant(Share& share,
                  const GrantSettings& settings,
-                 uint64_t ask,
+                 uint64_t request_number,
                  double granted,
                  Duration retry_after,
                  TimePoint now);
 
 // No reply came: the entry lives on its floor, `limit` / `all_entries` a
 // second, until the next ask is answered.
-void HandleAskTimeout(Share& share,
-                      const GrantSettings& settings,
-                      double limit,
-                      size_t all_entries,
-                      TimePoint now);
+void HandleGrantRequestTimeout(Share& share,
+                               const GrantSettings& settings,
+                               double limit,
+                               size_t all_entries,
+                               TimePoint now);
 
 }  // namespace bramleyspan::limits
--- a/Libraries/LibLimits/RetryBudget.cc
+++ b/Libraries/LibLimits/RetryBudget.cc
@@ -11,15 +11,15 @@
       .first->second;
 }
 
-void Earn(const RetrySettings& settings, double& level) {
+void Refill(const RetrySettings& settings, double& level) {
   level = std::min(settings.burst, level + settings.share);
 }
 
 }  // namespace
 
-void NoteFirstAttempt(RetryBudget& budget, const std::string& owner) {
-  Earn(budget.settings, budget.process_level);
-  Earn(budget.settings, LevelOf(budget, owner));
+void RecordFirstAttempt(RetryBudget& budget, const std::string& owner) {
+  Refill(budget.settings, budget.process_level);
+  Refill(budget.settings, LevelOf(budget, owner));
 }
 
 bool TakeRetry(RetryBudget& budget, const std::string& owner) {
--- a/Libraries/LibLimits/RetryBudget.h
+++ b/Libraries/LibLimits/RetryBudget.h
@@ -25,7 +25,7 @@
 };
 
 // An owner's request is attempted for the first time.
-void NoteFirstAttempt(RetryBudget& budget, const std::string& owner);
+void RecordFirstAttempt(RetryBudget& budget, const std::string& owner);
 
 // Takes one retry or hedge of an owner, if both budgets have one left. The
 // caller has made sure that the request may be repeated or has not run.
--- a/Libraries/LibRouting/Hash.h
+++ b/Libraries/LibRouting/Hash.h
@@ -14,7 +14,7 @@
 }
 
 // Names the first `bytes` bytes of a prompt; never zero.
-inline uint64_t PrefixOf(std::string_view prompt, size_t bytes) {
+inline uint64_t HashPrefix(std::string_view prompt, size_t bytes) {
   return HashWith(prompt.substr(0, bytes), 0) | 1U;
 }
 
--- a/Libraries/LibRouting/Policies.cc
+++ b/Libraries/LibRouting/Policies.cc
@@ -16,11 +16,11 @@
   return PickCandidates(all, 1, query.random);
 }
 
-std::vector<Candidate> PickInTurn(Router& router,
-                                  const Query& /*query*/,
-                                  const std::vector<Candidate>& all,
-                                  TimePoint /*now*/) {
-  return {all[router.turn++ % all.size()]};
+std::vector<Candidate> PickRoundRobin(Router& router,
+                                      const Query& /*query*/,
+                                      const std::vector<Candidate>& all,
+                                      TimePoint /*now*/) {
+  return {all[router.next_index++ % all.size()]};
 }
 
 // Every entry sees the same old report, so that all of them send to the same
@@ -91,7 +91,7 @@
 
 const PluginRegistration<Policy> kRegistrations[] = {
     {"random", PickRandom},
-    {"round-robin", PickInTurn},
+    {"round-robin", PickRoundRobin},
     {"least-reported", PickLeastReported},
     {"home", PickHome},
     {"bounded-home", PickBoundedHome},
--- a/Libraries/LibRouting/Routing.cc
+++ b/Libraries/LibRouting/Routing.cc
@@ -11,12 +11,12 @@
 namespace {
 
 // Each new call counts this share of the mean shortfall.
-constexpr int64_t kNewShareDivisor = 2;
+constexpr int64_t kNewSampleDivisor = 2;
 
 constexpr Duration kShortestRetryAfter = std::chrono::milliseconds(100);
 constexpr Duration kLongestRetryAfter = std::chrono::seconds(15);
 
-Duration AllowedOf(const Router& router, Duration deadline) {
+Duration LatestFirstToken(const Router& router, Duration deadline) {
   return std::chrono::duration_cast<Duration>(deadline *
                                               router.settings.admitted_share);
 }
@@ -44,30 +44,30 @@
                             const Query& query,
                             const ProbeAnswer& answer,
                             TimePoint now) {
-  const Duration promised = std::max(answer.first_token, Duration::zero());
-  return promised +
-         ShortfallOf(router, answer.candidate.target, query.service_class, now);
+  const Duration estimated = std::max(answer.first_token, Duration::zero());
+  return estimated +
+         LatenessOf(router, answer.candidate.target, query.service_class, now);
 }
 
 Duration Decayed(const Router& router,
-                 const Shortfall& shortfall,
+                 const Lateness& lateness,
                  TimePoint now) {
   constexpr int64_t kMostHalvings = 30;
   const auto halvings =
-      (now - shortfall.at) / router.settings.shortfall_half_life;
-  return shortfall.mean /
+      (now - lateness.at) / router.settings.lateness_half_life;
+  return lateness.mean /
          (int64_t{1} << std::clamp<int64_t>(halvings, 0, kMostHalvings));
 }
 
-void NoteShortfall(Router& router,
-                   const Outstanding& sent,
-                   Duration late,
-                   TimePoint now) {
-  Shortfall& shortfall =
-      router.targets[sent.target].shortfalls[sent.service_class];
-  const Duration known = Decayed(router, shortfall, now);
-  shortfall.mean = known + (late - known) / kNewShareDivisor;
-  shortfall.at = now;
+void RecordLateness(Router& router,
+                    const OutstandingCall& sent,
+                    Duration late,
+                    TimePoint now) {
+  Lateness& lateness =
+      router.targets[sent.target].lateness_by_class[sent.service_class];
+  const Duration known = Decayed(router, lateness, now);
+  lateness.mean = known + (late - known) / kNewSampleDivisor;
+  lateness.at = now;
 }
 
 bool is_ejected(const Router& router,
@@ -120,7 +120,7 @@
                                       const std::vector<ProbeAnswer>& answers,
                                       Duration deadline,
                                       TimePoint now) {
-  const Duration allowed = AllowedOf(router, deadline);
+  const Duration allowed = LatestFirstToken(router, deadline);
   const ProbeAnswer* best = nullptr;
   std::tuple<bool, int64_t, uint32_t> best_cost;
   for (const ProbeAnswer& answer : answers) {
@@ -131,7 +131,7 @@
     const bool is_drawn = query.prefix != 0 && answer.cached_tokens > 0;
     const std::tuple cost{
         is_drawn && is_over_bound(router.settings, answer, answers),
-        expected / router.settings.noise, answer.in_flight};
+        expected / router.settings.latency_resolution, answer.in_flight};
     // Equals go by the order of the answers. By their exact times one of two
     // idle targets would get every request, and news of the other none.
     if (best == nullptr || cost < best_cost) {
@@ -153,22 +153,23 @@
   Duration best = kLongestRetryAfter;
   for (const ProbeAnswer& answer : answers) {
     const Duration expected = ExpectedFirstToken(router, query, answer, now);
-    best = std::min(best, expected - AllowedOf(router, deadline));
+    best = std::min(best, expected - LatestFirstToken(router, deadline));
   }
   best = std::clamp(best, kShortestRetryAfter, kLongestRetryAfter);
   return best + Duration(query.random % best.count());
 }
 
-Duration ShortfallOf(const Router& router,
-                     const std::string& target,
-                     uint8_t service_class,
-                     TimePoint now) {
-  Duration shortfall{};
+Duration LatenessOf(const Router& router,
+                    const std::string& target,
+                    uint8_t service_class,
+                    TimePoint now) {
+  Duration lateness{};
   const auto record = router.targets.find(target);
   if (record != router.targets.end()) {
     for (size_t index = 0; index <= service_class; ++index) {
-      shortfall = std::max(
-          shortfall, Decayed(router, record->second.shortfalls[index], now));
+      lateness = std::max(
+          lateness,
+          Decayed(router, record->second.lateness_by_class[index], now));
     }
   }
   // A call that is overdue now tells more than calls that ended long ago: a
@@ -176,10 +177,11 @@
   for (const auto& [call, sent] : router.outstanding) {
     if (sent.target == target && sent.service_class <= service_class) {
       const auto waited = std::chrono::duration_cast<Duration>(now - sent.sent);
-      shortfall = std::max(shortfall, waited - sent.promised);
+      lateness = std::max(lateness, waited - sent.estimated);
     }
   }
-  return shortfall <= router.settings.noise ? Duration::zero() : shortfall;
+  return lateness <= router.settings.latency_resolution ? Duration::zero()
+                                                        : lateness;
 }
 
 void HandleProbeAnswered(Router& router, const std::string& target) {
@@ -226,10 +228,10 @@
                 uint8_t service_class,
                 TimePoint now) {
   router.outstanding.insert_or_assign(
-      call, Outstanding{.target = choice.candidate.target,
-                        .service_class = service_class,
-                        .promised = choice.promised,
-                        .sent = now});
+      call, OutstandingCall{.target = choice.candidate.target,
+                            .service_class = service_class,
+                            .estimated = choice.estimated,
+                            .sent = now});
 }
 
 void HandleFirstByte(Router& router, uint64_t call, TimePoint now) {
@@ -237,13 +239,13 @@
   if (found == router.outstanding.end()) {
     return;
   }
-  const Outstanding& sent = found->second;
+  const OutstandingCall& sent = found->second;
   const auto waited = std::chrono::duration_cast<Duration>(now - sent.sent);
-  NoteShortfall(router, sent, waited - sent.promised, now);
+  RecordLateness(router, sent, waited - sent.estimated, now);
   router.outstanding.erase(found);
 }
 
-void HandleForgotten(Router& router, uint64_t call) {
+void HandleNoFirstByte(Router& router, uint64_t call) {
   router.outstanding.erase(call);
 }
 
--- a/Libraries/LibRouting/Routing.h
+++ b/Libraries/LibRouting/Routing.h
@@ -44,7 +44,7 @@
   // A probe without an answer after this time is taken as unanswered.
   Duration probe_timeout = std::chrono::milliseconds(50);
   // Times to the first token that differ by less are told apart by load.
-  Duration noise = std::chrono::milliseconds(20);
+  Duration latency_resolution = std::chrono::milliseconds(20);
   // Share of a request's time within which an answer must be promised; agents
   // refuse what needs more.
   double admitted_share = 0.8;
@@ -60,22 +60,22 @@
   double largest_ejected_share = 0.34;
   // What a target fell short of its promises is forgotten by half in this
   // time, so that it is tried again.
-  Duration shortfall_half_life = std::chrono::seconds(20);
+  Duration lateness_half_life = std::chrono::seconds(20);
 };
 
 // Classes of service; a lower one is more urgent.
 inline constexpr size_t kClasses = 3;
 
 // A call that has been sent and has no first byte yet.
-struct Outstanding {
+struct OutstandingCall {
   std::string target;
   uint8_t service_class = 0;
-  Duration promised{};
+  Duration estimated{};
   TimePoint sent;
 };
 
 // Decayed mean of the time to the first token less what was promised.
-struct Shortfall {
+struct Lateness {
   Duration mean{};
   TimePoint at;
 };
@@ -85,15 +85,15 @@
   uint32_t failures = 0;
   uint32_t ejections = 0;
   TimePoint ejected_until;
-  std::array<Shortfall, kClasses> shortfalls;
+  std::array<Lateness, kClasses> lateness_by_class;
 };
 
 struct Router {
   RoutingSettings settings;
   std::map<std::string, TargetRecord> targets;
-  std::map<uint64_t, Outstanding> outstanding;
+  std::map<uint64_t, OutstandingCall> outstanding;
   std::map<std::string, LoadReport> reports;
-  uint64_t turn = 0;
+  uint64_t next_index = 0;
 };
 
 // What a policy needs to know of a request.
@@ -133,7 +133,7 @@
 // The candidate for a request and the time to the first token it promised.
 struct Choice {
   Candidate candidate;
-  Duration promised{};
+  Duration estimated{};
 };
 
 // The admitting candidate that is expected to answer first, if it can meet the
@@ -156,10 +156,10 @@
 // How much later than promised a target is expected to answer a request of a
 // class. Only that class and more urgent ones count: under load a batch request
 // is overtaken and late, which says nothing against an interactive one.
-Duration ShortfallOf(const Router& router,
-                     const std::string& target,
-                     uint8_t service_class,
-                     TimePoint now);
+Duration LatenessOf(const Router& router,
+                    const std::string& target,
+                    uint8_t service_class,
+                    TimePoint now);
 
 // A probe was answered.
 void HandleProbeAnswered(Router& router, const std::string& target);
@@ -178,6 +178,6 @@
                 uint8_t service_class,
                 TimePoint now);
 void HandleFirstByte(Router& router, uint64_t call, TimePoint now);
-void HandleForgotten(Router& router, uint64_t call);
+void HandleNoFirstByte(Router& router, uint64_t call);
 
 }  // namespace bramleyspan::routing
--- a/Libraries/LibUsage/Keeper.cc
+++ b/Libraries/LibUsage/Aggregator.cc
@@ -1,4 +1,4 @@
-#include "LibUsage/Keeper.h"
+#include "LibUsage/Aggregator.h"
 
 #include <algorithm>
 #include <charconv>
@@ -13,10 +13,11 @@
 
 using nlohmann::json;
 
-std::string KeyOf(const Keeper& keeper, const Part& part) {
+std::string KeyOf(const Aggregator& aggregator, const DocumentId& part) {
   return std::string(kDocumentPrefix) + std::to_string(part.window) + "/" +
-         keeper.process + "/" + std::to_string(keeper.incarnation) + "/" +
-         std::to_string(keeper.volume) + "/" + std::to_string(part.number);
+         aggregator.process + "/" + std::to_string(aggregator.incarnation) +
+         "/" + std::to_string(aggregator.generation) + "/" +
+         std::to_string(part.number);
 }
 
 std::string DigestOf(const std::string& owner, const std::string& process) {
@@ -36,70 +37,71 @@
 }
 
 // The document that a row lies in, or the one that has room for it.
-Part PartFor(Keeper& keeper, const Source& source) {
-  const auto known = keeper.part_of.find(source);
-  if (known != keeper.part_of.end()) {
+DocumentId DocumentIdFor(Aggregator& aggregator, const Source& source) {
+  const auto known = aggregator.document_ids.find(source);
+  if (known != aggregator.document_ids.end()) {
     return known->second;
   }
-  Part part{.window = source.window, .number = 0};
-  while (keeper.documents[part].rows.size() >= kMostRowsPerDocument) {
+  DocumentId part{.window = source.window, .number = 0};
+  while (aggregator.documents[part].rows.size() >= kMostRowsPerDocument) {
     ++part.number;
   }
-  keeper.part_of.emplace(source, part);
+  aggregator.document_ids.emplace(source, part);
   return part;
 }
 
 }  // namespace
 
-std::optional<std::string> ChooseKeeper(
+std::optional<std::string> ChooseAggregator(
     const std::string& owner,
     const std::vector<std::string>& processes) {
-  std::optional<std::string> keeper;
+  std::optional<std::string> aggregator;
   std::string highest;
   for (const std::string& process : processes) {
     const std::string digest = DigestOf(owner, process);
     if (digest > highest) {
       highest = digest;
-      keeper = process;
+      aggregator = process;
     }
   }
-  return keeper;
+  return aggregator;
 }
 
-void TakeReport(Keeper& keeper, const Rows& report) {
+void ApplyReport(Aggregator& aggregator, const Rows& report) {
   for (const auto& [source, counts] : report) {
-    Document& document = keeper.documents[PartFor(keeper, source)];
+    Document& document =
+        aggregator.documents[DocumentIdFor(aggregator, source)];
     Counts& held = document.rows[source];
     // A report that tells nothing new must not cause a write: agents repeat
     // theirs until they hear that it is stored.
     if (!is_covered(counts, held)) {
-      TakeLarger(held, counts);
+      MergeMaximum(held, counts);
       document.is_due = true;
     }
   }
 }
 
-std::vector<DocumentWrite> DueWrites(const Keeper& keeper) {
+std::vector<DocumentWrite> DueWrites(const Aggregator& aggregator) {
   std::vector<DocumentWrite> writes;
-  for (const auto& [part, document] : keeper.documents) {
+  for (const auto& [part, document] : aggregator.documents) {
     if (document.is_due) {
-      writes.push_back({KeyOf(keeper, part), SerializeDocument(document.rows),
-                        part, document.rows});
+      writes.push_back({KeyOf(aggregator, part),
+                        SerializeDocument(document.rows), part, document.rows});
     }
   }
   return writes;
 }
 
-void HandleWritten(Keeper& keeper, const DocumentWrite& written) {
-  const auto held = keeper.documents.find(written.part);
-  if (held != keeper.documents.end() && held->second.rows == written.rows) {
+void HandleWritten(Aggregator& aggregator, const DocumentWrite& written) {
+  const auto held = aggregator.documents.find(written.part);
+  if (held != aggregator.documents.end() && held->second.rows == written.rows) {
     held->second.is_due = false;
   }
 }
 
-bool ForgetWindows(Keeper& keeper, Window oldest) {
+bool RemoveWindows(Aggregator& aggregator, Window oldest) {
   std::set<Window> due;
-  for (const auto& [part, document] : keeper.documents) {
+  for (const auto& [part, document] : aggregator.documents) {
     if (document.is_due) {
       due.insert(part.window);
     }
@@ -107,10 +109,10 @@
   const auto is_forgotten = [&](Window window) {
     return window < oldest && !due.contains(window);
   };
-  const auto forgotten = std::erase_if(keeper.documents, [&](const auto& item) {
-    return is_forgotten(item.first.window);
-  });
-  std::erase_if(keeper.part_of, [&](const auto& item) {
+  const auto forgotten = std::erase_if(
+      aggregator.documents,
+      [&](const auto& item) { return is_forgotten(item.first.window); });
+  std::erase_if(aggregator.document_ids, [&](const auto& item) {
     return is_forgotten(item.first.window);
   });
   // A late report begins a forgotten window anew with its own rows alone.
@@ -119,7 +121,7 @@
   if (forgotten == 0) {
     return false;
   }
-  ++keeper.volume;
+  ++aggregator.generation;
   return true;
 }
 
--- a/Libraries/LibUsage/Keeper.h
+++ b/Libraries/LibUsage/Aggregator.h
@@ -23,16 +23,16 @@
 // The process that keeps an owner's usage: the highest digest of the owner's
 // and the process's names. Processes with other views may name another one
 // for a while, which costs a second copy of some rows and adds nothing.
-std::optional<std::string> ChooseKeeper(
+std::optional<std::string> ChooseAggregator(
     const std::string& owner,
     const std::vector<std::string>& processes);
 
 // Which document of a window a row lies in.
-struct Part {
+struct DocumentId {
   Window window = 0;
   uint32_t number = 0;
 
-  auto operator<=>(const Part&) const = default;
+  auto operator<=>(const DocumentId&) const = default;
 };
 
 struct Document {
@@ -49,38 +49,38 @@
 struct DocumentWrite {
   std::string key;
   std::string text;
-  Part part;
+  DocumentId part;
   Rows rows;
 };
 
-struct Keeper {
+struct Aggregator {
   std::string process;
   uint64_t incarnation = 0;
-  std::map<Part, Document> documents;
+  std::map<DocumentId, Document> documents;
   // A row never moves to another document: while only one of the two writes
   // was done it would be missing from the store.
-  std::map<Source, Part> part_of;
+  std::map<Source, DocumentId> document_ids;
   // How often windows were forgotten. It is part of the documents' keys, so
   // that a forgotten window that is begun anew takes the place of none.
-  uint64_t volume = 0;
+  uint64_t generation = 0;
 };
 
 // Rows that an agent reported.
-void TakeReport(Keeper& keeper, const Rows& report);
+void ApplyReport(Aggregator& aggregator, const Rows& report);
 
 // The documents to write now; called once in a write interval. A document
 // stays due until HandleWritten.
-std::vector<DocumentWrite> DueWrites(const Keeper& keeper);
+std::vector<DocumentWrite> DueWrites(const Aggregator& aggregator);
 
 // A document is stored: its agents are told of its rows (HandleStored). Rows
 // that came while it was written keep the document due.
-void HandleWritten(Keeper& keeper, const DocumentWrite& written);
+void HandleWritten(Aggregator& aggregator, const DocumentWrite& written);
 
 // Forgets written documents of windows before `oldest`. A row of such a window
 // that is reported again starts a new document and adds nothing. Returns
 // whether any was forgotten; no document is written under an earlier key from
 // then on.
-bool ForgetWindows(Keeper& keeper, Window oldest);
+bool RemoveWindows(Aggregator& aggregator, Window oldest);
 
 // Writes rows as a document.
 std::string SerializeDocument(const Rows& rows);
--- a/Libraries/LibUsage/Counts.cc
+++ b/Libraries/LibUsage/Counts.cc
@@ -10,15 +10,15 @@
   }
 }
 
-void TakeLarger(Counts& counts, const Counts& other) {
+void MergeMaximum(Counts& counts, const Counts& other) {
   for (const Unit& unit : kUnits) {
     counts.*unit.value = std::max(counts.*unit.value, other.*unit.value);
   }
 }
 
-void Join(Rows& rows, const Rows& other) {
+void MergeRows(Rows& rows, const Rows& other) {
   for (const auto& [source, counts] : other) {
-    TakeLarger(rows[source], counts);
+    MergeMaximum(rows[source], counts);
   }
 }
 
--- a/Libraries/LibUsage/Counts.h
+++ b/Libraries/LibUsage/Counts.h
@@ -85,10 +85,10 @@
 
 // Takes the larger of each unit. Counters only go up, so this is right for
 // values that come twice, late or out of order.
-void TakeLarger(Counts& counts, const Counts& other);
+void MergeMaximum(Counts& counts, const Counts& other);
 
-// Joins rows by TakeLarger: any order, any number of times, one result.
-void Join(Rows& rows, const Rows& other);
+// Joins rows by MergeMaximum: any order, any number of times, one result.
+void MergeRows(Rows& rows, const Rows& other);
 
 // Whether every unit of `counts` is covered by `other`.
 bool is_covered(const Counts& counts, const Counts& other);
--- a/Libraries/LibUsage/RequestMeter.cc
+++ b/Libraries/LibUsage/RequestMeter.cc
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-void NoteSent(RequestMeter& meter, TimePoint now) {
+void RecordSent(RequestMeter& meter, TimePoint now) {
   const bool is_first = meter.sent == TimePoint{};
   if (is_first) {
     meter.counts.queue_microseconds = MicrosecondsOf(now - meter.arrived);
@@ -34,27 +34,29 @@
   }
   meter.sent = now;
   meter.is_at_target = true;
-  meter.has_passed_events = false;
+  meter.has_forwarded_events = false;
 }
 
-void NoteEvent(RequestMeter& meter, uint64_t tokens) {
+void RecordEvent(RequestMeter& meter, uint64_t tokens) {
   meter.counts.tokens_out += tokens;
-  meter.has_passed_events = true;
+  meter.has_forwarded_events = true;
 }
 
-void NoteLeft(RequestMeter& meter, TimePoint now) {
+void RecordAttemptEnd(RequestMeter& meter, TimePoint now) {
   if (!meter.is_at_target) {
     return;
   }
   meter.is_at_target = false;
-  meter.last_attempt = now - meter.sent;
-  meter.counts.target_microseconds += MicrosecondsOf(meter.last_attempt);
-  if (meter.has_passed_events) {
-    meter.passed += meter.last_attempt;
+  meter.last_attempt_time = now - meter.sent;
+  meter.counts.target_microseconds += MicrosecondsOf(meter.last_attempt_time);
+  if (meter.has_forwarded_events) {
+    meter.forwarded_time += meter.last_attempt_time;
   }
 }
 
-Counts Settle(const RequestMeter& meter, Ending ending, uint64_t tokens_in) {
+Counts FinalCounts(const RequestMeter& meter,
+                   Ending ending,
+                   uint64_t tokens_in) {
   Counts counts = meter.counts;
   counts.requests = 1;
   ++EndingOf(counts, ending);
@@ -64,8 +66,9 @@
   counts.wasted_microseconds = counts.target_microseconds;
   if (ending == Ending::kAnswered) {
     // An answer in one piece came from the last attempt.
-    const Duration useful =
-        meter.counts.tokens_out > 0 ? meter.passed : meter.last_attempt;
+    const Duration useful = meter.counts.tokens_out > 0
+                                ? meter.forwarded_time
+                                : meter.last_attempt_time;
     counts.wasted_microseconds -= MicrosecondsOf(useful);
   }
   return counts;
--- a/Libraries/LibUsage/RequestMeter.h
+++ b/Libraries/LibUsage/RequestMeter.h
@@ -15,22 +15,24 @@
   // The attempt under way, or the last one.
   TimePoint sent;
   bool is_at_target = false;
-  bool has_passed_events = false;
-  Duration last_attempt{};
+  bool has_forwarded_events = false;
+  Duration last_attempt_time{};
   // The time of attempts whose events went on to the caller.
-  Duration passed{};
+  Duration forwarded_time{};
 };
 
 // The request is sent to a target.
-void NoteSent(RequestMeter& meter, TimePoint now);
+void RecordSent(RequestMeter& meter, TimePoint now);
 
 // An event with so many tokens went on to the caller.
-void NoteEvent(RequestMeter& meter, uint64_t tokens);
+void RecordEvent(RequestMeter& meter, uint64_t tokens);
 
 // The target has the request no more.
-void NoteLeft(RequestMeter& meter, TimePoint now);
+void RecordAttemptEnd(RequestMeter& meter, TimePoint now);
 
 // The request has ended. `tokens_in` are counted if a target had it.
-Counts Settle(const RequestMeter& meter, Ending ending, uint64_t tokens_in);
+Counts FinalCounts(const RequestMeter& meter,
+                   Ending ending,
+                   uint64_t tokens_in);
 
 }  // namespace bramleyspan::usage
--- a/Measurements/MeasureClaims.cc
+++ b/Measurements/MeasureClaims.cc
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "LibCalls/AgentCalls.h"
-#include "LibClaims/Seal.h"
+#include "LibClaims/ClosingRecord.h"
 
 namespace bramleyspan {
 
@@ -27,7 +27,7 @@
 enum class Scheme {
   kAgent,
   kAgentNoAttach,
-  kAgentNoSeal,
+  kAgentNoClosingRecord,
   kWritePerCall,
   kEntryBatch,
   kRendezvous,
@@ -35,7 +35,7 @@
 constexpr std::array<std::pair<Scheme, const char*>, 6> kSchemes{{
     {Scheme::kAgent, "claim per agent"},
     {Scheme::kAgentNoAttach, "  without attaching"},
-    {Scheme::kAgentNoSeal, "  without the seal"},
+    {Scheme::kAgentNoClosingRecord, "  without the seal"},
     {Scheme::kWritePerCall, "write per call"},
     {Scheme::kEntryBatch, "batch per entry"},
     {Scheme::kRendezvous, "rendezvous"},
@@ -113,7 +113,7 @@
   uint64_t last_incarnation = 0;
   uint64_t generation = 1;
   bool is_outage = false;
-  claims::SealBook seals;
+  claims::ClosingRecords closing_records;
   // The other ways: what is written down of each call, and where it runs.
   std::map<uint64_t, bool> is_done;
   std::map<uint64_t, size_t> running_at;
@@ -131,7 +131,7 @@
   bool is_claim_per_agent() const {
     return this->scheme == Scheme::kAgent ||
            this->scheme == Scheme::kAgentNoAttach ||
-           this->scheme == Scheme::kAgentNoSeal;
+           this->scheme == Scheme::kAgentNoClosingRecord;
   }
 };
 
@@ -203,9 +203,9 @@
               const CallPointer& call,
               std::function<void(Reply)> reply) {
   const auto key = claims::ParseClaimKey(call->key);
-  const auto sealed = claims::DecideBySeal(simulation.seals, key.value());
-  if (sealed != claims::SealDecision::kNotSealed) {
-    const bool is_not_run = sealed == claims::SealDecision::kNotRun;
+  const auto decision = claims::DecideByClosingRecord(simulation.closing_records, key.value());
+  if (decision != claims::ClosingRecordDecision::kNoClosingRecord) {
+    const bool is_not_run = decision == claims::ClosingRecordDecision::kNotRun;
     reply({is_not_run ? calls::Verdict::kNotRun : calls::Verdict::kUnknown,
            true});
     return;
@@ -440,8 +440,8 @@
   ++simulation.generation;
   simulation.After(seconds(2), [&simulation, index] {
     const auto& registry = simulation.agents[index].calls.claims;
-    if (simulation.scheme != Scheme::kAgentNoSeal) {
-      claims::AddSeal(simulation.seals, claims::SealClaims(registry),
+    if (simulation.scheme != Scheme::kAgentNoClosingRecord) {
+      claims::AddClosingRecord(simulation.closing_records, claims::MakeClosingRecord(registry),
                       simulation.now);
     }
     simulation.agents[index].is_alive = false;
--- a/Measurements/MeasureLimits.cc
+++ b/Measurements/MeasureLimits.cc
@@ -22,7 +22,7 @@
 constexpr Duration kStrike = seconds(20);
 constexpr Duration kMend = seconds(40);
 
-enum class Trouble { kNone, kKeeperDies, kRolling, kParted };
+enum class Trouble { kNone, kAllocatorDies, kRolling, kParted };
 
 struct Run {
   const char* name;
@@ -65,7 +65,7 @@
     // The entries that this one believes to reach.
     std::set<size_t> seen;
     limits::Share share;
-    limits::Keeper keeper;
+    limits::Allocator allocator;
     size_t pending = 0;
   };
 
@@ -93,15 +93,15 @@
     }
   }
 
-  size_t KeeperFor(size_t index) const {
+  size_t AllocatorFor(size_t index) const {
     std::vector<std::string> names;
     std::vector<size_t> indices;
     for (const size_t other : this->nodes[index].seen) {
       names.push_back(this->nodes[other].name);
       indices.push_back(other);
     }
-    const std::string keeper = limits::KeeperOf("owner", names);
-    return indices[std::ranges::find(names, keeper) - names.begin()];
+    const std::string allocator = limits::AllocatorOf("owner", names);
+    return indices[std::ranges::find(names, allocator) - names.begin()];
   }
 
   void Replace(size_t index) {
@@ -122,8 +122,8 @@
     switch (this->run.trouble) {
       case Trouble::kNone:
         return;
-      case Trouble::kKeeperDies:
-        this->events.At(begin, [this] { this->Replace(this->KeeperFor(0)); });
+      case Trouble::kAllocatorDies:
+        this->events.At(begin, [this] { this->Replace(this->AllocatorFor(0)); });
         return;
       case Trouble::kRolling:
         for (size_t i = 0; i < std::min<size_t>(this->run.entries, 9); ++i) {
@@ -168,9 +168,9 @@
     Node& node = this->nodes[index];
     const TimePoint now = this->events.now();
     const auto decision = limits::Spend(node.share, this->settings, 1, now);
-    if (decision.admittance == limits::Admittance::kAdmit) {
+    if (decision.outcome == limits::SpendOutcome::kAdmit) {
       this->Admit();
-    } else if (decision.admittance == limits::Admittance::kAsk && !is_second) {
+    } else if (decision.outcome == limits::SpendOutcome::kRequestGrant && !is_second) {
       ++node.pending;
       this->Ask(index);
     }
@@ -186,22 +186,22 @@
 
   void Ask(size_t index) {
     Node& node = this->nodes[index];
-    if (node.share.is_asking) {
+    if (node.share.is_requesting) {
       return;
     }
     ++this->asks;
     const TimePoint now = this->events.now();
-    const double wanted = limits::StartAsk(node.share, this->settings, 1, now);
-    const uint64_t number = node.share.ask;
-    const size_t keeper = this->KeeperFor(index);
+    const double wanted = limits::StartGrantRequest(node.share, this->settings, 1, now);
+    const uint64_t number = node.share.request_number;
+    const size_t allocator = this->AllocatorFor(index);
     const std::string name = node.name;
-    this->events.After(kOneWay, [this, index, keeper, wanted, number, name] {
-      this->AnswerAsk(index, keeper, wanted, number, name);
+    this->events.After(kOneWay, [this, index, allocator, wanted, number, name] {
+      this->AnswerAsk(index, allocator, wanted, number, name);
     });
-    this->events.After(this->settings.ask_timeout, [this, index, number] {
+    this->events.After(this->settings.request_timeout, [this, index, number] {
       limits::Share& share = this->nodes[index].share;
-      if (share.is_asking && share.ask == number) {
-        limits::HandleAskTimeout(share, this->settings, this->run.limit,
+      if (share.is_requesting && share.request_number == number) {
+        limits::HandleGrantRequestTimeout(share, this->settings, this->run.limit,
                                  this->run.entries, this->events.now());
         this->Release(index);
       }
@@ -209,25 +209,25 @@
   }
 
   void AnswerAsk(size_t index,
-                 size_t keeper_index,
+                 size_t allocator_index,
                  double wanted,
                  uint64_t number,
                  const std::string& name) {
-    if (!this->CanReach(index, keeper_index)) {
+    if (!this->CanReach(index, allocator_index)) {
       return;
     }
-    Node& node = this->nodes[keeper_index];
-    limits::SetLimit(node.keeper, this->settings, this->run.limit,
+    Node& node = this->nodes[allocator_index];
+    limits::SetLimit(node.allocator, this->settings, this->run.limit,
                      node.seen.size(), this->run.entries, this->events.now());
-    const double granted = limits::HandleAsk(
-        node.keeper, wanted, std::min(this->run.used, node.seen.size()),
+    const double granted = limits::HandleGrantRequest(
+        node.allocator, wanted, std::min(this->run.used, node.seen.size()),
         this->events.now());
-    const Duration retry_after = limits::RetryAfterOf(node.keeper);
+    const Duration retry_after = limits::RetryAfterOf(node.allocator);
     this->events.After(
         kOneWay, [this, index, granted, retry_after, number, name] {
-          Node& asker = this->nodes[index];
-          if (asker.name == name) {
-            limits::HandleGrant(asker.share, this->settings, number, granted,
+          Node& requester = this->nodes[index];
+          if (requester.name == name) {
+            limits::HandleGrant(requester.share, this->settings, number, granted,
                                 retry_after, this->events.now());
             this->Release(index);
           }
@@ -287,8 +287,8 @@
       {"steady", 9, 9, 90, 0.5},
       {"steady", 9, 9, 90, 3},
       {"steady, small owner", 9, 9, 5, 3},
-      {"keeper dies", 9, 1, 90, 3, Trouble::kKeeperDies},
-      {"keeper dies", 9, 9, 90, 3, Trouble::kKeeperDies},
+      {"keeper dies", 9, 1, 90, 3, Trouble::kAllocatorDies},
+      {"keeper dies", 9, 9, 90, 3, Trouble::kAllocatorDies},
       {"all entries replaced, one in 2 s", 9, 9, 90, 3, Trouble::kRolling},
       {"a third parted 20 s", 9, 1, 90, 3, Trouble::kParted},
       {"a third parted 20 s", 9, 9, 90, 3, Trouble::kParted},
@@ -296,7 +296,7 @@
       {"steady", 340, 8, 300, 3},
       {"steady", 340, 340, 300, 3},
       {"steady, small owner", 340, 8, 3, 3},
-      {"keeper dies", 340, 8, 300, 3, Trouble::kKeeperDies},
+      {"keeper dies", 340, 8, 300, 3, Trouble::kAllocatorDies},
       {"nine entries replaced, one in 2 s", 340, 8, 300, 3, Trouble::kRolling},
       {"a third parted 20 s", 340, 8, 300, 3, Trouble::kParted},
       {"a third parted 20 s", 340, 340, 300, 3, Trouble::kParted},
--- a/Measurements/MeasureRouting.cc
+++ b/Measurements/MeasureRouting.cc
@@ -103,9 +103,9 @@
     }
     this->routers.resize(run.size.entries);
     for (routing::Router& router : this->routers) {
-      router.turn = this->random();
+      router.next_index = this->random();
       if (!run.has_trust) {
-        router.settings.noise = std::chrono::hours(1000);
+        router.settings.latency_resolution = std::chrono::hours(1000);
       }
       if (!run.has_ejection) {
         router.settings.failures_to_eject = 1U << 30U;
@@ -348,7 +348,7 @@
   }
 
   void Refuse(const CallPointer& call) {
-    routing::HandleForgotten(this->routers[call->entry], call->request.id);
+    routing::HandleNoFirstByte(this->routers[call->entry], call->request.id);
     if (call->is_closed) {
       return;
     }
--- a/Services/bramleyspand/Agent/AgentRole.cc
+++ b/Services/bramleyspand/Agent/AgentRole.cc
@@ -160,7 +160,7 @@
   void RunAntiEntropy() {
     this->TellRevision();
     for (const auto& connection : this->state.connections) {
-      this->state.feed.AskForPendingShards(*connection);
+      this->state.feed.RequestPendingShards(*connection);
     }
     this->state.loop.RunAfter(kAntiEntropyInterval,
                               [this] { this->RunAntiEntropy(); });
@@ -168,7 +168,7 @@
 
   void TellRevision() {
     for (const auto& connection : this->state.connections) {
-      this->state.feed.TellInForce(*connection);
+      this->state.feed.SendInForce(*connection);
     }
   }
 
@@ -212,7 +212,7 @@
   }
 
   void ForgetEpochsForever() {
-    claims::ForgetOldEpochs(this->state.calls.claims, EventLoop::Now());
+    claims::RemoveExpiredEpochs(this->state.calls.claims, EventLoop::Now());
     this->state.loop.RunAfter(kEpochCheckInterval,
                               [this] { this->ForgetEpochsForever(); });
   }
@@ -223,7 +223,7 @@
       this->idle_since = now;
       this->CutAtBound(now);
     } else if (now >= this->notice_ends) {
-      this->SealOnce();
+      this->SendClosingRecordOnce();
       if (this->is_flushed(now)) {
         this->state.loop.Stop();
         return;
@@ -244,11 +244,11 @@
 
   // Nothing runs and no key will: tell the entries, which answer for the keys
   // when this process is gone.
-  void SealOnce() {
-    if (std::exchange(this->is_sealed, true)) {
+  void SendClosingRecordOnce() {
+    if (std::exchange(this->has_sent_closing_record, true)) {
       return;
     }
-    SendSeal(this->state);
+    SendClosingRecord(this->state);
     this->idle_since = EventLoop::Now();
   }
 
@@ -268,7 +268,7 @@
 
   AgentState state;
   bool is_draining = false;
-  bool is_sealed = false;
+  bool has_sent_closing_record = false;
   TimePoint notice_ends;
   TimePoint idle_since;
   TimePoint drain_ends;
--- a/Services/bramleyspand/Agent/AgentState.h
+++ b/Services/bramleyspand/Agent/AgentState.h
@@ -45,7 +45,7 @@
 
 // Tells all entries what became of the claim keys (Calls.cc). The agent must be
 // leaving and nothing may be running.
-void SendSeal(AgentState& state);
+void SendClosingRecord(AgentState& state);
 
 // Handles a frame of an entry (Calls.cc).
 void HandleEntryFrame(AgentState& state,
--- a/Services/bramleyspand/Agent/Calls.cc
+++ b/Services/bramleyspand/Agent/Calls.cc
@@ -1,5 +1,5 @@
 #include "Kernel/Digest.h"
-#include "LibClaims/Seal.h"
+#include "LibClaims/ClosingRecord.h"
 #include "LibTelemetry/Log.h"
 #include "Services/bramleyspand/Agent/Admission.h"
 
@@ -10,7 +10,7 @@
 constexpr Duration kDeadlineCheckInterval = std::chrono::milliseconds(20);
 constexpr size_t kNonceBytes = 12;
 // A seal of more keys would not fit into a frame.
-constexpr size_t kMostSealedKeys = 50'000;
+constexpr size_t kMostClosingRecordKeys = 50'000;
 
 wire::Verdict ToWire(calls::Verdict verdict) {
   switch (verdict) {
@@ -248,18 +248,18 @@
                       [&state] { WatchDeadlines(state); });
 }
 
-void SendSeal(AgentState& state) {
-  const claims::ClaimsSeal seal = claims::SealClaims(state.calls.claims);
-  if (seal.may_have_run.size() > kMostSealedKeys) {
+void SendClosingRecord(AgentState& state) {
+  const claims::ClosingRecord closing_record = claims::MakeClosingRecord(state.calls.claims);
+  if (closing_record.may_have_run.size() > kMostClosingRecordKeys) {
     telemetry::Log(telemetry::LogLevel::kWarning, "calls", "not_sealed",
-                   {{"keys", std::to_string(seal.may_have_run.size())}});
+                   {{"keys", std::to_string(closing_record.may_have_run.size())}});
     return;
   }
   wire::ClaimsSealedT frame;
-  frame.agent = seal.agent;
-  frame.incarnation = seal.incarnation;
-  frame.oldest_epoch = seal.oldest_epoch;
-  frame.may_have_run.assign(seal.may_have_run.begin(), seal.may_have_run.end());
+  frame.agent = closing_record.agent;
+  frame.incarnation = closing_record.incarnation;
+  frame.oldest_epoch = closing_record.oldest_epoch;
+  frame.may_have_run.assign(closing_record.may_have_run.begin(), closing_record.may_have_run.end());
   for (const auto& connection : state.connections) {
     connection->Send(wire::Encode(frame));
   }
--- a/Services/bramleyspand/Answers.cc
+++ b/Services/bramleyspand/Answers.cc
@@ -31,14 +31,15 @@
   }
 }
 
-http::Response ToResponse(const Refusal& refusal) {
+http::Response ToResponse(const ErrorAnswer& error_answer) {
   nlohmann::json error = {
-      {"code", StableCodeOf(refusal.error.code)},
-      {"message", refusal.error.subject + ": " + refusal.error.detail},
-      {"run", refusal.run == RunState::kNotRun ? "not_run" : "unknown"}};
+      {"code", StableCodeOf(error_answer.error.code)},
+      {"message",
+       error_answer.error.subject + ": " + error_answer.error.detail},
+      {"run", error_answer.run == RunState::kNotRun ? "not_run" : "unknown"}};
   http::HeaderList headers;
-  if (refusal.retry_after) {
-    const auto wait = *refusal.retry_after;
+  if (error_answer.retry_after) {
+    const auto wait = *error_answer.retry_after;
     error["retry_after_ms"] =
         std::chrono::ceil<std::chrono::milliseconds>(wait).count();
     headers.emplace_back(
@@ -46,7 +47,7 @@
         std::to_string(std::chrono::ceil<std::chrono::seconds>(wait).count()));
   }
   http::Response response =
-      JsonResponse(StatusFor(refusal.error.code), {{"error", error}});
+      JsonResponse(StatusFor(error_answer.error.code), {{"error", error}});
   response.headers.insert(response.headers.end(), headers.begin(),
                           headers.end());
   return response;
--- a/Services/bramleyspand/Answers.h
+++ b/Services/bramleyspand/Answers.h
@@ -15,7 +15,7 @@
 enum class RunState { kNotRun, kUnknown };
 
 // A failure as a caller sees it.
-struct Refusal {
+struct ErrorAnswer {
   Error error;
   RunState run = RunState::kNotRun;
   // When it makes sense to come back; none if never.
@@ -26,7 +26,7 @@
 int StatusFor(ErrorCode code);
 
 // The typed JSON answer for a failure, with Retry-After where it applies.
-http::Response ToResponse(const Refusal& refusal);
+http::Response ToResponse(const ErrorAnswer& error_answer);
 
 // A JSON document as an answer.
 http::Response JsonResponse(int status, const nlohmann::json& document);
--- a/Services/bramleyspand/CatalogueFeed.cc
+++ b/Services/bramleyspand/CatalogueFeed.cc
@@ -52,21 +52,21 @@
   }
 }
 
-void CatalogueFeed::AnnounceTo(wire::Connection& connection) const {
+void CatalogueFeed::AnnounceHead(wire::Connection& connection) const {
   wire::HeadAnnouncementT announcement;
   announcement.revision = this->revision();
   announcement.head = catalogue::SerializeHead(this->head());
   connection.Send(wire::Encode(std::move(announcement)));
 }
 
-void CatalogueFeed::TellInForce(wire::Connection& connection) const {
+void CatalogueFeed::SendInForce(wire::Connection& connection) const {
   wire::InForceT in_force;
   in_force.revision = this->revision();
   in_force.change = this->newest_change().id;
   connection.Send(wire::Encode(std::move(in_force)));
 }
 
-void CatalogueFeed::AskForPendingShards(wire::Connection& connection) const {
+void CatalogueFeed::RequestPendingShards(wire::Connection& connection) const {
   wire::ShardRequestT request;
   request.names = this->pending_shards();
   if (!request.names.empty()) {
@@ -89,11 +89,12 @@
     return true;
   }
   if (const auto* in_force = frame.body.AsInForce()) {
-    this->HandlePeer(connection, {in_force->change, in_force->revision});
+    this->HandlePeerRevision(connection,
+                             {in_force->change, in_force->revision});
     return true;
   }
   if (const auto* hello = frame.body.AsHello()) {
-    this->HandlePeer(connection, {hello->change, hello->revision});
+    this->HandlePeerRevision(connection, {hello->change, hello->revision});
   }
   return false;
 }
@@ -120,7 +121,7 @@
   // Nothing is told while shards are on their way: the peer would see the
   // older revision and announce once more, and so on.
   if (outcome == OfferOutcome::kKnown || outcome == OfferOutcome::kInForce) {
-    this->TellInForce(connection);
+    this->SendInForce(connection);
   }
 }
 
@@ -143,10 +144,11 @@
 // Brings a peer up that missed an announcement: one that was down, cut off or
 // started later. Without this it would obey the old revision until the next
 // change.
-void CatalogueFeed::HandlePeer(wire::Connection& connection,
-                               const catalogue::AcceptedChange& in_force) {
+void CatalogueFeed::HandlePeerRevision(
+    wire::Connection& connection,
+    const catalogue::AcceptedChange& in_force) {
   if (in_force.revision < this->revision()) {
-    this->AnnounceTo(connection);
+    this->AnnounceHead(connection);
     return;
   }
   const bool is_diverged = in_force.revision == this->revision() &&
--- a/Services/bramleyspand/CatalogueFeed.h
+++ b/Services/bramleyspand/CatalogueFeed.h
@@ -54,14 +54,14 @@
   void OfferSnapshot(const catalogue::Snapshot& snapshot);
 
   // Sends a peer the head that is in force here.
-  void AnnounceTo(wire::Connection& connection) const;
+  void AnnounceHead(wire::Connection& connection) const;
 
   // Tells a peer which change is in force here.
-  void TellInForce(wire::Connection& connection) const;
+  void SendInForce(wire::Connection& connection) const;
 
   // Asks a peer once more for the shards of a pending head. A request or its
   // answer is lost with its connection; nobody else repeats it.
-  void AskForPendingShards(wire::Connection& connection) const;
+  void RequestPendingShards(wire::Connection& connection) const;
 
   // Handles the frames by which peers pass the catalogue on. Returns false if
   // the frame is of another kind.
@@ -94,8 +94,8 @@
                           const wire::HeadAnnouncementT& announced);
   void HandleShardRequest(wire::Connection& connection,
                           const wire::ShardRequestT& request) const;
-  void HandlePeer(wire::Connection& connection,
-                  const catalogue::AcceptedChange& in_force);
+  void HandlePeerRevision(wire::Connection& connection,
+                          const catalogue::AcceptedChange& in_force);
   void HandleOutcome(catalogue::OfferOutcome outcome);
 
   catalogue::Follower follower;
--- a/Services/bramleyspand/Entry/Calls.cc
+++ b/Services/bramleyspand/Entry/Calls.cc
@@ -104,7 +104,7 @@
 void CloseCall(EntryState& state, uint64_t id) {
   const uint64_t attempt = state.calls.at(id).call.call;
   state.call_of_attempt.erase(attempt);
-  routing::HandleForgotten(state.router, attempt);
+  routing::HandleNoFirstByte(state.router, attempt);
   state.calls.erase(id);
 }
 
@@ -277,7 +277,7 @@
     CancelAtAgent(state, found->second);
     CloseCall(state, id);
   });
-  limits::NoteFirstAttempt(state.retry_budget, entry.owner);
+  limits::RecordFirstAttempt(state.retry_budget, entry.owner);
   state.calls.emplace(id, std::move(open));
   return id;
 }
@@ -291,7 +291,7 @@
                Duration::zero());
     return;
   }
-  if (AnswerBySeal(state, key.value(), id)) {
+  if (AnswerByClosingRecord(state, key.value(), id)) {
     return;
   }
   OpenCall& open = state.calls.at(id);
@@ -320,8 +320,8 @@
     HandleCallEnd(state, *end);
   } else if (const auto* reply = frame.body.AsClaimReply()) {
     HandleClaimReply(state, *reply);
-  } else if (const auto* seal = frame.body.AsClaimsSealed()) {
-    HandleSeal(state, *seal);
+  } else if (const auto* closing_record = frame.body.AsClaimsSealed()) {
+    HandleClosingRecord(state, *closing_record);
   }
 }
 
--- a/Services/bramleyspand/Entry/Calls.h
+++ b/Services/bramleyspand/Entry/Calls.h
@@ -69,12 +69,12 @@
                   const ExchangePointer& exchange);
 void HandleClaimReply(EntryState& state, const wire::ClaimReplyT& reply);
 
-// Takes an agent's seal and passes it on to the other entries (Seals.cc).
-void HandleSeal(EntryState& state, const wire::ClaimsSealedT& frame);
+// Takes an agent's seal and passes it on to the other entries (ClosingRecords.cc).
+void HandleClosingRecord(EntryState& state, const wire::ClaimsSealedT& frame);
 
 // Answers for an agent that has sealed its keys and stopped. Returns false if
-// only the agent itself could answer (Seals.cc).
-bool AnswerBySeal(EntryState& state, const claims::ClaimKey& key, uint64_t id);
+// only the agent itself could answer (ClosingRecords.cc).
+bool AnswerByClosingRecord(EntryState& state, const claims::ClaimKey& key, uint64_t id);
 
 // Asks another agent for the keys that a lost one was to issue (Claims.cc).
 void HandleLostClaimAgent(EntryState& state, const std::string& target);
--- a/Services/bramleyspand/Entry/CatalogueChanges.cc
+++ b/Services/bramleyspand/Entry/CatalogueChanges.cc
@@ -26,7 +26,7 @@
 catalogue::KnownChanges KnownChangesOf(const EntryState& state) {
   catalogue::KnownChanges known{state.feed.newest_change()};
   for (const auto& [name, link] : state.links) {
-    if (link.is_heard) {
+    if (link.has_sent_hello) {
       known.push_back(link.in_force);
     }
   }
@@ -175,13 +175,13 @@
       this->state.feed.Raise(CatalogueAlarm::kStoreBehind, error.detail);
     }
     const bool is_unknown = error.code == ErrorCode::kOutcomeUnknown;
-    Refusal refusal{.error = error,
+    ErrorAnswer error_answer{.error = error,
                     .run = is_unknown ? RunState::kUnknown : RunState::kNotRun,
                     .retry_after = std::nullopt};
     if (error.code == ErrorCode::kUnavailable || is_unknown) {
-      refusal.retry_after = kRetryAfterOutage;
+      error_answer.retry_after = kRetryAfterOutage;
     }
-    this->exchange->Respond(ToResponse(refusal));
+    this->exchange->Respond(ToResponse(error_answer));
   }
 };
 
@@ -190,7 +190,7 @@
 bool is_cut_off(const EntryState& state) {
   const bool has_others = state.vms.size() > 1;
   const bool has_heard = std::ranges::any_of(
-      state.links, [](const auto& item) { return item.second.is_heard; });
+      state.links, [](const auto& item) { return item.second.has_sent_hello; });
   return !state.readiness.is_list_heard || (has_others && !has_heard);
 }
 
--- a/Services/bramleyspand/Entry/CatalogueSource.cc
+++ b/Services/bramleyspand/Entry/CatalogueSource.cc
@@ -70,7 +70,7 @@
 bool is_watching(const EntryState& state) {
   std::vector<std::string> others;
   for (const auto& [name, link] : state.links) {
-    if (link.is_heard && link.role == "entry" && !link.is_leaving &&
+    if (link.has_sent_hello && link.role == "entry" && !link.is_leaving &&
         link.zone == state.settings.zone) {
       others.push_back(name);
     }
@@ -136,8 +136,8 @@
   }
   FetchShardsFromKeyValue(state, missing);
   for (auto& [name, link] : state.links) {
-    if (link.is_heard && link.in_force.revision > state.feed.revision()) {
-      state.feed.AskForPendingShards(*link.connection);
+    if (link.has_sent_hello && link.in_force.revision > state.feed.revision()) {
+      state.feed.RequestPendingShards(*link.connection);
       return;
     }
   }
@@ -145,7 +145,7 @@
 
 void RunAntiEntropy(EntryState& state) {
   RepeatLostRequests(state);
-  TellInForce(state);
+  SendInForce(state);
   RefreshReadiness(state);
   if (is_watching(state)) {
     FollowStore(state);
--- a/Services/bramleyspand/Entry/EntryState.h
+++ b/Services/bramleyspand/Entry/EntryState.h
@@ -10,7 +10,7 @@
 
 #include "LibCalls/Retry.h"
 #include "LibCatalogue/Readiness.h"
-#include "LibClaims/Seal.h"
+#include "LibClaims/ClosingRecord.h"
 #include "LibHTTP/Client.h"
 #include "LibHTTP/Server.h"
 #include "LibLimits/RetryBudget.h"
@@ -94,7 +94,7 @@
   std::map<uint64_t, ProbeRound> rounds;
   std::map<uint64_t, uint64_t> round_of_probe;
   std::map<uint64_t, OpenClaimRequest> claim_requests;
-  claims::SealBook seals;
+  claims::ClosingRecords closing_records;
   uint64_t last_id = 0;
   bool is_leaving = false;
   StoreWatch store_watch;
@@ -114,7 +114,7 @@
 void StartLinks(EntryState& state);
 void AcceptLink(EntryState& state, h2o_socket_t* socket);
 void AnnounceCatalogue(EntryState& state);
-void TellInForce(EntryState& state);
+void SendInForce(EntryState& state);
 void AnnounceLeaving(EntryState& state);
 
 // The catalogue (CatalogueSource.cc): follows the key-value service.
@@ -138,9 +138,9 @@
 // Ends calls that have waited too long, for ever.
 void WatchCalls(EntryState& state);
 
-// The seals of agents that have stopped (Seals.cc), for a peer that has just
+// The seals of agents that have stopped (ClosingRecords.cc), for a peer that has just
 // started and would have to answer "unknown" without them.
-void SendSeals(const EntryState& state, wire::Connection& connection);
+void SendClosingRecords(const EntryState& state, wire::Connection& connection);
 
 // Operators (OperatorApi.cc).
 void HandleOperatorRequest(EntryState& state,
--- a/Services/bramleyspand/Entry/Links.cc
+++ b/Services/bramleyspand/Entry/Links.cc
@@ -37,13 +37,13 @@
 
 void HandlePeerFrame(EntryState& state, Link& link, const wire::FrameT& frame) {
   if (const auto* hello = frame.body.AsHello()) {
-    link.is_heard = true;
+    link.has_sent_hello = true;
     link.role = hello->role;
     link.zone = hello->zone;
     link.incarnation = hello->incarnation;
     HandleRevision(state, link, {hello->change, hello->revision});
     if (link.role == "entry") {
-      SendSeals(state, *link.connection);
+      SendClosingRecords(state, *link.connection);
     }
   } else if (const auto* in_force = frame.body.AsInForce()) {
     HandleRevision(state, link, {in_force->change, in_force->revision});
@@ -181,17 +181,17 @@
       continue;
     }
     if (link.in_force.revision < state.feed.revision()) {
-      state.feed.AnnounceTo(*link.connection);
+      state.feed.AnnounceHead(*link.connection);
     } else {
-      state.feed.TellInForce(*link.connection);
+      state.feed.SendInForce(*link.connection);
     }
   }
 }
 
-void TellInForce(EntryState& state) {
+void SendInForce(EntryState& state) {
   for (auto& [name, link] : state.links) {
-    if (link.is_heard) {
-      state.feed.TellInForce(*link.connection);
+    if (link.has_sent_hello) {
+      state.feed.SendInForce(*link.connection);
     }
   }
 }
--- a/Services/bramleyspand/Entry/Probing.cc
+++ b/Services/bramleyspand/Entry/Probing.cc
@@ -38,7 +38,7 @@
   call.prompt_tokens =
       static_cast<uint32_t>(prompt.size() / kBytesPerToken) + 1;
   if (prompt.size() >= kPrefixBytes) {
-    call.prefix = routing::PrefixOf(call.owner + prompt,
+    call.prefix = routing::HashPrefix(call.owner + prompt,
                                     call.owner.size() + kPrefixBytes);
   }
 }
@@ -214,7 +214,7 @@
 void NoteAttemptEnd(EntryState& state,
                     const OpenCall& open,
                     const calls::Ending& ending) {
-  routing::HandleForgotten(state.router, open.call.call);
+  routing::HandleNoFirstByte(state.router, open.call.call);
   const auto& entries = state.feed.current().entries;
   const auto entry = entries.find(open.call.catalogue_entry);
   // An unknown that the agent itself tells, such as a key that it forgot, says
--- a/Services/bramleyspand/Gateway/Forwarding.cc
+++ b/Services/bramleyspand/Gateway/Forwarding.cc
@@ -301,7 +301,7 @@
        .entry =
            this->route == nullptr ? std::string(kNobody) : this->route->name,
        .service = this->service},
-      usage::Settle(
+      usage::FinalCounts(
           this->meter, EndingOf(outcome),
           static_cast<uint64_t>(std::max<int64_t>(0, tokens_in.value_or(0)))));
 }
@@ -319,7 +319,7 @@
   if (this->target_id.empty()) {
     return;
   }
-  usage::NoteLeft(this->meter, EventLoop::Now());
+  usage::RecordAttemptEnd(this->meter, EventLoop::Now());
   const auto found = this->state.targets.by_id.find(this->target_id);
   if (found != this->state.targets.by_id.end() && found->second.open > 0) {
     --found->second.open;
--- a/Services/bramleyspand/Gateway/ForwardingAnswers.cc
+++ b/Services/bramleyspand/Gateway/ForwardingAnswers.cc
@@ -87,7 +87,7 @@
   }
   this->SettlePlace();
   this->last_event_at = now;
-  usage::NoteEvent(this->meter, this->TokensPerEvent());
+  usage::RecordEvent(this->meter, this->TokensPerEvent());
   if (event.id) {
     this->last_event = event.id;
   }
--- a/Services/bramleyspand/Gateway/ForwardingSending.cc
+++ b/Services/bramleyspand/Gateway/ForwardingSending.cc
@@ -66,7 +66,7 @@
   this->target_id = target.target.id;
   this->group = gateway::GroupOf(target);
   this->tried.insert(this->target_id);
-  usage::NoteSent(this->meter, now);
+  usage::RecordSent(this->meter, now);
   ++this->state.targets.by_id[this->target_id].open;
   this->answer.reset();
   this->answer_body.clear();
--- a/Services/bramleyspand/Gateway/UsageKeeping.cc
+++ b/Services/bramleyspand/Gateway/UsageKeeping.cc
@@ -29,8 +29,8 @@
   const std::string& name = this->state.settings.name;
   this->ledger.agent = name;
   this->ledger.incarnation = this->state.incarnation;
-  this->keeper.process = name;
-  this->keeper.incarnation = this->state.incarnation;
+  this->aggregator.process = name;
+  this->aggregator.incarnation = this->state.incarnation;
   // All gateways start together; their writes should not come together.
   const Duration interval = this->state.fleet().usage_interval;
   const Duration first = Duration(std::uniform_int_distribution<int64_t>(
@@ -59,8 +59,8 @@
     };
     return;
   }
-  usage::TakeReport(this->keeper, this->ledger.rows);
-  const auto writes = usage::DueWrites(this->keeper);
+  usage::ApplyReport(this->aggregator, this->ledger.rows);
+  const auto writes = usage::DueWrites(this->aggregator);
   if (writes.empty()) {
     on_done();
     return;
@@ -79,7 +79,7 @@
             kUsageWrites,
             {{"outcome", written.has_value() ? "done" : "failed"}});
         if (written.has_value()) {
-          usage::HandleWritten(this->keeper, write);
+          usage::HandleWritten(this->aggregator, write);
           usage::HandleStored(this->ledger, write.rows,
                               WindowNow(this->ledger));
         }
@@ -102,7 +102,7 @@
   if (--this->open_writes > 0) {
     return;
   }
-  if (usage::ForgetWindows(this->keeper, WindowNow(this->ledger))) {
+  if (usage::RemoveWindows(this->aggregator, WindowNow(this->ledger))) {
     this->documents.ForgetAll();
   }
   std::exchange(this->on_all_written, [] {})();
--- a/Services/bramleyspand/Gateway/UsageKeeping.h
+++ b/Services/bramleyspand/Gateway/UsageKeeping.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "LibPlatform/OwnDocuments.h"
-#include "LibUsage/Keeper.h"
+#include "LibUsage/Aggregator.h"
 #include "LibUsage/Ledger.h"
 #include "Services/bramleyspand/Gateway/GatewayState.h"
 
@@ -41,7 +41,7 @@
   GatewayState& state;
   platform::OwnDocuments documents;
   usage::Ledger ledger;
-  usage::Keeper keeper;
+  usage::Aggregator aggregator;
   size_t open_writes = 0;
   std::function<void()> on_all_written;
   TimePoint removed_at;
--- a/Services/bramleyspand/Link.h
+++ b/Services/bramleyspand/Link.h
@@ -22,7 +22,7 @@
   catalogue::AcceptedChange in_force;
   TimePoint in_force_since{};
   // Whether the peer has said Hello.
-  bool is_heard = false;
+  bool has_sent_hello = false;
   bool is_leaving = false;
 };
 
--- a/Specs/Claims.pml
+++ b/Specs/Claims.pml
@@ -24,7 +24,7 @@
 // variant SEAL_ONLY_DONE       a seal names only the keys that are known to be done
 //
 // An agent that is leaving refuses every new key; once nothing is running it
-// seals its keys (LibClaims/Seal), and entries answer for it ever after.
+// seals its keys (LibClaims/ClosingRecord), and entries answer for it ever after.
 
 #define KEYS 2
 #define FORWARDS 3
@@ -179,7 +179,7 @@
        fi;
        f = 0 }
   :: atomic { is_alive[a] && !is_forgotten[a] ->
-       // ForgetOldEpochs keeps the keys that are running.
+       // RemoveExpiredEpochs keeps the keys that are running.
        is_forgotten[a] = true;
        k = 0;
        do
@@ -198,7 +198,7 @@
        is_leaving[a] &&
 #endif
        RECORD(a, 0) != kRunning && RECORD(a, 1) != kRunning ->
-       // SealClaims.
+       // MakeClosingRecord.
        is_sealed = true;
        k = 0;
        do
@@ -245,7 +245,7 @@
        if
        :: shown[k] < SHOWS -> shown[k]++; on_the_way[k]++
        :: on_the_way[k] > 0 -> on_the_way[k]--
-       // DecideBySeal.
+       // DecideByClosingRecord.
        :: is_sealed && !may_have_run[k] -> TellNotRun(k)
 #ifdef ENTRY_GUESSES
        :: shown[k] < SHOWS -> shown[k]++; TellNotRun(k)
--- a/Tests/LibCalls/TestAgentCalls.cc
+++ b/Tests/LibCalls/TestAgentCalls.cc
@@ -262,7 +262,7 @@
     case 7:
       now += seconds(choice);
       Observe(history, CheckDeadlines(calls, now), "");
-      claims::ForgetOldEpochs(calls.claims, now);
+      claims::RemoveExpiredEpochs(calls.claims, now);
       break;
     default:
       calls.is_leaving = choice % 4 == 0;
@@ -277,7 +277,7 @@
       "calls of one agent",
       [](const std::vector<std::pair<uint8_t, uint8_t>>& steps) {
         AgentCalls calls = MakeAgent();
-        calls.claims.settings.remembered_epochs = 2;
+        calls.claims.settings.retained_epochs = 2;
         History history;
         TimePoint now = kStart;
         uint64_t serial = 0;
--- a/Tests/LibClaims/TestClaims.cc
+++ b/Tests/LibClaims/TestClaims.cc
@@ -74,7 +74,7 @@
   CHECK(Admit(registry, refused, now) == ClaimDecision::kIsRefused);
   FinishClaim(registry, done, {.status = 200});
   RefuseClaim(registry, done);
-  LoseClaim(registry, done);
+  MarkClaimUnknown(registry, done);
   CHECK(Admit(registry, done, now) == ClaimDecision::kIsDone);
 }
 
@@ -87,7 +87,7 @@
   const std::string key = Issue(before, now);
   CHECK(Admit(after, key, now) == ClaimDecision::kIsUnknown);
   const TimePoint late = now + minutes(12);
-  ForgetOldEpochs(before, late);
+  RemoveExpiredEpochs(before, late);
   CHECK(Admit(before, key, late) == ClaimDecision::kIsUnknown);
 }
 
@@ -121,10 +121,10 @@
   const std::string key = Issue(registry, registry.started);
   REQUIRE(Admit(registry, key, registry.started) == ClaimDecision::kRun);
   const TimePoint late = registry.started + minutes(12);
-  ForgetOldEpochs(registry, late);
+  RemoveExpiredEpochs(registry, late);
   CHECK(Admit(registry, key, late) == ClaimDecision::kIsRunning);
   FinishClaim(registry, key, {.status = 200});
-  ForgetOldEpochs(registry, late);
+  RemoveExpiredEpochs(registry, late);
   CHECK(Admit(registry, key, late) == ClaimDecision::kIsUnknown);
 }
 
@@ -177,7 +177,7 @@
       "keys of one agent", [](const std::vector<uint8_t>& steps) {
         ClaimRegistry registry = MakeRegistry(1);
         registry.settings = {.epoch_length = minutes(1),
-                             .remembered_epochs = 2,
+                             .retained_epochs = 2,
                              .most_records = 3,
                              .most_answer_bytes = 4,
                              .largest_answer = 3};
@@ -211,11 +211,11 @@
               }
               break;
             case 6:
-              LoseClaim(registry, key);
+              MarkClaimUnknown(registry, key);
               break;
             case 7:
               now += std::chrono::seconds(30);
-              ForgetOldEpochs(registry, now);
+              RemoveExpiredEpochs(registry, now);
               break;
             default:
               break;
--- a/Tests/LibClaims/TestSeal.cc
+++ b/Tests/LibClaims/TestClosingRecord.cc
@@ -1,6 +1,6 @@
 #include <doctest/doctest.h>
 
-#include "LibClaims/Seal.h"
+#include "LibClaims/ClosingRecord.h"
 
 namespace bramleyspan::claims {
 
@@ -17,8 +17,9 @@
   return key;
 }
 
-SealDecision Decide(const SealBook& book, const std::string& key) {
-  return DecideBySeal(book, ParseClaimKey(key).value());
+ClosingRecordDecision Decide(const ClosingRecords& book,
+                             const std::string& key) {
+  return DecideByClosingRecord(book, ParseClaimKey(key).value());
 }
 
 }  // namespace
@@ -34,29 +35,29 @@
   const std::string forgotten = IssueAndAdmit(registry, "01", now);
   FinishClaim(registry, forgotten, {.status = 200});
   const TimePoint later = now + minutes(30);
-  ForgetOldEpochs(registry, later);
+  RemoveExpiredEpochs(registry, later);
   const std::string unused =
       IssueClaim(registry, "huber", "issue", "02", later);
   const std::string done = IssueAndAdmit(registry, "03", later);
   FinishClaim(registry, done, {.status = 200});
   const std::string lost = IssueAndAdmit(registry, "04", later);
-  LoseClaim(registry, lost);
+  MarkClaimUnknown(registry, lost);
   const std::string running = IssueAndAdmit(registry, "05", later);
   const std::string refused = IssueAndAdmit(registry, "06", later);
   RefuseClaim(registry, refused);
 
-  SealBook book;
-  CHECK(Decide(book, unused) == SealDecision::kNotSealed);
-  CHECK(AddSeal(book, SealClaims(registry), later));
-  CHECK_FALSE(AddSeal(book, SealClaims(registry), later));
-  CHECK(Decide(book, unused) == SealDecision::kNotRun);
-  CHECK(Decide(book, refused) == SealDecision::kNotRun);
-  CHECK(Decide(book, forgotten) == SealDecision::kMayHaveRun);
-  CHECK(Decide(book, done) == SealDecision::kMayHaveRun);
-  CHECK(Decide(book, lost) == SealDecision::kMayHaveRun);
-  CHECK(Decide(book, running) == SealDecision::kMayHaveRun);
-  ForgetOldSeals(book, later + book.keep);
-  CHECK(Decide(book, unused) == SealDecision::kNotSealed);
+  ClosingRecords book;
+  CHECK(Decide(book, unused) == ClosingRecordDecision::kNoClosingRecord);
+  CHECK(AddClosingRecord(book, MakeClosingRecord(registry), later));
+  CHECK_FALSE(AddClosingRecord(book, MakeClosingRecord(registry), later));
+  CHECK(Decide(book, unused) == ClosingRecordDecision::kNotRun);
+  CHECK(Decide(book, refused) == ClosingRecordDecision::kNotRun);
+  CHECK(Decide(book, forgotten) == ClosingRecordDecision::kMayHaveRun);
+  CHECK(Decide(book, done) == ClosingRecordDecision::kMayHaveRun);
+  CHECK(Decide(book, lost) == ClosingRecordDecision::kMayHaveRun);
+  CHECK(Decide(book, running) == ClosingRecordDecision::kMayHaveRun);
+  RemoveOldClosingRecords(book, later + book.keep);
+  CHECK(Decide(book, unused) == ClosingRecordDecision::kNoClosingRecord);
 }
 
 }  // namespace bramleyspan::claims
--- a/Tests/LibRouting/TestFaults.cc
+++ b/Tests/LibRouting/TestFaults.cc
@@ -34,10 +34,10 @@
 // A call that is promised `promised` and answered after `delivered`.
 void Serve(Router& router,
            const std::string& target,
-           Duration promised,
+           Duration estimated,
            Duration delivered,
            uint8_t service_class = 0) {
-  HandleSent(router, 1, {{"g", target}, promised}, service_class, kBegin);
+  HandleSent(router, 1, {{"g", target}, estimated}, service_class, kBegin);
   HandleFirstByte(router, 1, kBegin + delivered);
 }
 
@@ -84,8 +84,8 @@
   Router router;
   Serve(router, "a", milliseconds(100), seconds(15), 2);
   const Duration none{};
-  CHECK(ShortfallOf(router, "a", 0, kBegin + seconds(15)) == none);
-  CHECK(ShortfallOf(router, "a", 2, kBegin + seconds(15)) > seconds(5));
+  CHECK(LatenessOf(router, "a", 0, kBegin + seconds(15)) == none);
+  CHECK(LatenessOf(router, "a", 2, kBegin + seconds(15)) > seconds(5));
 }
 
 // Each request that probes a dead target waits for the probe's timeout: the
@@ -144,8 +144,8 @@
       CHECK(HomeOf(prefix, all)->target == home);
     }
   }
-  CHECK(PrefixOf("one and the same start, one end", 10) ==
-        PrefixOf("one and the same start, another end", 10));
+  CHECK(HashPrefix("one and the same start, one end", 10) ==
+        HashPrefix("one and the same start, another end", 10));
 }
 
 // Every entry picks the same target until the next report, the target drowns
--- a/Tests/LibUsage/TestRequestMeter.cc
+++ b/Tests/LibUsage/TestRequestMeter.cc
@@ -22,12 +22,12 @@
 
   void Pass(Duration time) { this->now += time; }
   void Attempt(Duration time, uint64_t events) {
-    NoteSent(this->meter, this->now);
+    RecordSent(this->meter, this->now);
     for (uint64_t event = 0; event < events; ++event) {
-      NoteEvent(this->meter, 4);
+      RecordEvent(this->meter, 4);
     }
     this->Pass(time);
-    NoteLeft(this->meter, this->now);
+    RecordAttemptEnd(this->meter, this->now);
   }
 };
 
@@ -40,7 +40,8 @@
   journey.Pass(kQueue);
   journey.Attempt(kFirst, 0);
   journey.Attempt(kSecond, 3);
-  const Counts counts = Settle(journey.meter, Ending::kAnswered, kTokensIn);
+  const Counts counts =
+      FinalCounts(journey.meter, Ending::kAnswered, kTokensIn);
   CHECK(counts.answered == 1);
   CHECK(counts.retries == 1);
   CHECK(counts.queue_microseconds == Microseconds(kQueue));
@@ -56,9 +57,8 @@
   Journey journey;
   journey.Attempt(kFirst, 2);
   journey.Attempt(kSecond, 3);
-  CHECK(
-      Settle(journey.meter, Ending::kAnswered, kTokensIn).wasted_microseconds ==
-      0);
+  CHECK(FinalCounts(journey.meter, Ending::kAnswered, kTokensIn)
+            .wasted_microseconds == 0);
 }
 
 // The caller leaves, or nobody could answer: all that targets did is waste.
@@ -66,7 +66,7 @@
   Journey journey;
   journey.Attempt(kFirst, 2);
   for (const Ending ending : {Ending::kCancelled, Ending::kFailed}) {
-    CHECK(Settle(journey.meter, ending, kTokensIn).wasted_microseconds ==
+    CHECK(FinalCounts(journey.meter, ending, kTokensIn).wasted_microseconds ==
           Microseconds(kFirst));
   }
 }
@@ -75,14 +75,14 @@
   Journey journey;
   journey.Attempt(kFirst, 0);
   journey.Attempt(kSecond, 0);
-  CHECK(Settle(journey.meter, Ending::kAnswered, 0).wasted_microseconds ==
+  CHECK(FinalCounts(journey.meter, Ending::kAnswered, 0).wasted_microseconds ==
         Microseconds(kFirst));
 }
 
 // No target had it: nothing but the request itself is counted.
 TEST_CASE("a refused request costs no tokens") {
   Journey journey;
-  const Counts counts = Settle(journey.meter, Ending::kRefused, kTokensIn);
+  const Counts counts = FinalCounts(journey.meter, Ending::kRefused, kTokensIn);
   CHECK(counts.requests == 1);
   CHECK(counts.refused == 1);
   CHECK(counts.tokens_in == 0);
--- a/Tests/LibUsage/TestUsage.cc
+++ b/Tests/LibUsage/TestUsage.cc
@@ -1,6 +1,6 @@
 #include <doctest/doctest.h>
 
-#include "LibUsage/Keeper.h"
+#include "LibUsage/Aggregator.h"
 #include "LibUsage/Ledger.h"
 #include "LibUsage/Totals.h"
 #include "Tests/Property.h"
@@ -18,7 +18,8 @@
 // time and any number of times, and a store that outlives them all.
 struct World {
   std::vector<Ledger> agents{{"target-1", 1, {}, 0}, {"target-2", 2, {}, 0}};
-  std::vector<Keeper> keepers{{"entry-1", 11, {}, {}}, {"entry-2", 12, {}, {}}};
+  std::vector<Aggregator> aggregators{{"entry-1", 11, {}, {}},
+                                      {"entry-2", 12, {}, {}}};
   std::map<std::string, std::string> stored;
   std::vector<Rows> reports;
   std::vector<Rows> acknowledgements;
@@ -30,7 +31,7 @@
   Rows Read() const {
     Rows all;
     for (const auto& [key, text] : this->stored) {
-      Join(all, ParseDocument(text).value());
+      MergeRows(all, ParseDocument(text).value());
     }
     return all;
   }
@@ -44,10 +45,10 @@
     ++this->counted;
   }
 
-  void Write(Keeper& keeper) {
-    for (const DocumentWrite& write : DueWrites(keeper)) {
+  void Write(Aggregator& aggregator) {
+    for (const DocumentWrite& write : DueWrites(aggregator)) {
       this->stored[write.key] = write.text;
-      HandleWritten(keeper, write);
+      HandleWritten(aggregator, write);
       this->acknowledgements.push_back(write.rows);
     }
   }
@@ -66,10 +67,10 @@
   // All that live tell what they know, and it is written.
   void Settle() {
     for (const Ledger& agent : this->agents) {
-      TakeReport(this->keepers[0], ReportFor(agent, "owner"));
+      ApplyReport(this->aggregators[0], ReportFor(agent, "owner"));
     }
-    for (Keeper& keeper : this->keepers) {
-      this->Write(keeper);
+    for (Aggregator& aggregator : this->aggregators) {
+      this->Write(aggregator);
     }
   }
 };
@@ -90,11 +91,11 @@
       break;
     case 3:
       if (!world.reports.empty()) {
-        TakeReport(Pick(world.keepers), Pick(world.reports));
+        ApplyReport(Pick(world.aggregators), Pick(world.reports));
       }
       break;
     case 4:
-      world.Write(Pick(world.keepers));
+      world.Write(Pick(world.aggregators));
       break;
     case 5:
       if (!world.acknowledgements.empty()) {
@@ -106,14 +107,14 @@
       world.KillAgent(Pick(world.agents));
       break;
     case 7: {
-      Keeper& keeper = Pick(world.keepers);
-      keeper = {keeper.process, ++world.next_incarnation, {}, {}};
+      Aggregator& aggregator = Pick(world.aggregators);
+      aggregator = {aggregator.process, ++world.next_incarnation, {}, {}};
       break;
     }
     case 8:
       ++world.window;
-      for (Keeper& keeper : world.keepers) {
-        ForgetWindows(keeper, world.window);
+      for (Aggregator& aggregator : world.aggregators) {
+        RemoveWindows(aggregator, world.window);
       }
       break;
   }
@@ -143,13 +144,13 @@
 TEST_CASE("a kill of agent and keeper loses what was counted since the write") {
   World world;
   world.Count(world.agents[0]);
-  TakeReport(world.keepers[0], ReportFor(world.agents[0], "owner"));
-  world.Write(world.keepers[0]);
+  ApplyReport(world.aggregators[0], ReportFor(world.agents[0], "owner"));
+  world.Write(world.aggregators[0]);
   world.Count(world.agents[0]);
   world.Count(world.agents[0]);
-  TakeReport(world.keepers[0], ReportFor(world.agents[0], "owner"));
+  ApplyReport(world.aggregators[0], ReportFor(world.agents[0], "owner"));
   world.KillAgent(world.agents[0]);
-  world.keepers[0] = {"entry-1", 50, {}, {}};
+  world.aggregators[0] = {"entry-1", 50, {}, {}};
   world.Settle();
   CHECK(world.counted == 3);
   CHECK(world.CountStored() == 1);
@@ -176,11 +177,11 @@
 TEST_CASE("a restarted keeper overwrites nothing of its former incarnation") {
   World world;
   world.Count(world.agents[0]);
-  TakeReport(world.keepers[0], ReportFor(world.agents[0], "owner"));
-  world.Write(world.keepers[0]);
+  ApplyReport(world.aggregators[0], ReportFor(world.agents[0], "owner"));
+  world.Write(world.aggregators[0]);
   HandleStored(world.agents[0], world.acknowledgements[0], kNow + 1);
   world.Count(world.agents[1]);
-  world.keepers[0] = {"entry-1", 50, {}, {}};
+  world.aggregators[0] = {"entry-1", 50, {}, {}};
   world.Settle();
   CHECK(world.CountStored() == 2);
 }
@@ -194,12 +195,12 @@
   world.Count(world.agents[0]);
   world.Count(world.agents[1]);
   const Rows late = ReportFor(world.agents[1], "owner");
-  TakeReport(world.keepers[0], ReportFor(world.agents[0], "owner"));
-  world.Write(world.keepers[0]);
+  ApplyReport(world.aggregators[0], ReportFor(world.agents[0], "owner"));
+  world.Write(world.aggregators[0]);
   world.KillAgent(world.agents[0]);
-  ForgetWindows(world.keepers[0], kNow + 1);
-  TakeReport(world.keepers[0], late);
-  world.Write(world.keepers[0]);
+  RemoveWindows(world.aggregators[0], kNow + 1);
+  ApplyReport(world.aggregators[0], late);
+  world.Write(world.aggregators[0]);
   CHECK(world.at_risk_in_kills == 0);
   CHECK(world.CountStored() == 2);
 }
@@ -207,17 +208,17 @@
 // Failure: a key is taken for one that is not written any more, or the reverse.
 TEST_CASE("Once a window is forgotten no earlier key is written") {
   World world;
-  Keeper& keeper = world.keepers[0];
+  Aggregator& aggregator = world.aggregators[0];
   world.Count(world.agents[0]);
-  TakeReport(keeper, ReportFor(world.agents[0], "owner"));
-  const auto writes = DueWrites(keeper);
+  ApplyReport(aggregator, ReportFor(world.agents[0], "owner"));
+  const auto writes = DueWrites(aggregator);
   REQUIRE(writes.size() == 1);
-  CHECK_FALSE(ForgetWindows(keeper, kNow + 1));
-  HandleWritten(keeper, writes.front());
-  CHECK_FALSE(ForgetWindows(keeper, kNow));
-  CHECK(ForgetWindows(keeper, kNow + 1));
-  TakeReport(keeper, ReportFor(world.agents[0], "owner"));
-  for (const DocumentWrite& write : DueWrites(keeper)) {
+  CHECK_FALSE(RemoveWindows(aggregator, kNow + 1));
+  HandleWritten(aggregator, writes.front());
+  CHECK_FALSE(RemoveWindows(aggregator, kNow));
+  CHECK(RemoveWindows(aggregator, kNow + 1));
+  ApplyReport(aggregator, ReportFor(world.agents[0], "owner"));
+  for (const DocumentWrite& write : DueWrites(aggregator)) {
     CHECK(write.key != writes.front().key);
   }
 }
@@ -227,10 +228,10 @@
 TEST_CASE("a repeated report causes no write") {
   World world;
   world.Count(world.agents[0]);
-  TakeReport(world.keepers[0], ReportFor(world.agents[0], "owner"));
-  world.Write(world.keepers[0]);
-  TakeReport(world.keepers[0], ReportFor(world.agents[0], "owner"));
-  CHECK(DueWrites(world.keepers[0]).empty());
+  ApplyReport(world.aggregators[0], ReportFor(world.agents[0], "owner"));
+  world.Write(world.aggregators[0]);
+  ApplyReport(world.aggregators[0], ReportFor(world.agents[0], "owner"));
+  CHECK(DueWrites(world.aggregators[0]).empty());
 }
 
 // A report arrives while its window's document is being written; forgetting
@@ -238,12 +239,12 @@
 TEST_CASE("rows that came during a write stay due") {
   World world;
   world.Count(world.agents[0]);
-  TakeReport(world.keepers[0], ReportFor(world.agents[0], "owner"));
-  const auto writes = DueWrites(world.keepers[0]);
+  ApplyReport(world.aggregators[0], ReportFor(world.agents[0], "owner"));
+  const auto writes = DueWrites(world.aggregators[0]);
   world.Count(world.agents[0]);
-  TakeReport(world.keepers[0], ReportFor(world.agents[0], "owner"));
-  HandleWritten(world.keepers[0], writes.at(0));
-  CHECK(DueWrites(world.keepers[0]).size() == 1);
+  ApplyReport(world.aggregators[0], ReportFor(world.agents[0], "owner"));
+  HandleWritten(world.aggregators[0], writes.at(0));
+  CHECK(DueWrites(world.aggregators[0]).size() == 1);
 }
 
 // The time of day jumps ten minutes ahead on a gateway, its counters of the
@@ -280,12 +281,12 @@
       CountWork(agent, {"owner-" + std::to_string(owner), "draft"}, kNow,
                 kOneRequest);
     }
-    TakeReport(world.keepers[0], agent.rows);
+    ApplyReport(world.aggregators[0], agent.rows);
   };
   count_owners(2);
-  world.Write(world.keepers[0]);
+  world.Write(world.aggregators[0]);
   count_owners(1);
-  const auto writes = DueWrites(world.keepers[0]);
+  const auto writes = DueWrites(world.aggregators[0]);
   REQUIRE(writes.size() == 2);
   CHECK(writes[0].rows.size() == kMostRowsPerDocument);
   CHECK(writes[0].key != writes[1].key);
@@ -299,15 +300,15 @@
 
 // Every unit of a row survives the way through a document.
 TEST_CASE("a document holds what was counted") {
-  Keeper keeper{"entry-1", 11, {}, {}};
+  Aggregator aggregator{"entry-1", 11, {}, {}};
   Rows rows;
   Counts& counts = rows[{"front", 7, kNow, "owner", "draft", "drafting"}];
   uint64_t value = 0;
   for (const Unit& unit : kUnits) {
     counts.*unit.value = ++value;
   }
-  TakeReport(keeper, rows);
-  CHECK(ParseDocument(DueWrites(keeper).at(0).text).value() == rows);
+  ApplyReport(aggregator, rows);
+  CHECK(ParseDocument(DueWrites(aggregator).at(0).text).value() == rows);
 }
 
 // The parent asks for every byte that moved; rounding must not lose any.
--- a/Utilities/bramleyspanctl/UsageCommand.cc
+++ b/Utilities/bramleyspanctl/UsageCommand.cc
@@ -10,7 +10,7 @@
 
 #include "Kernel/EventLoop.h"
 #include "LibGateway/Adapter.h"
-#include "LibUsage/Keeper.h"
+#include "LibUsage/Aggregator.h"
 #include "LibUsage/Totals.h"
 #include "Utilities/bramleyspanctl/Commands.h"
 
@@ -61,7 +61,7 @@
         std::cerr << item.key << ": " << Describe(document.error()) << "\n";
         continue;
       }
-      usage::Join(rows, document.value());
+      usage::MergeRows(rows, document.value());
     }
   }
   return rows;
@@ -139,7 +139,7 @@
   Rows rows = TRY(ReadStored(options));
   if (!options.gateways.empty()) {
     for (const Address& gateway : TRY(ParseEntries(options.gateways))) {
-      usage::Join(rows, TRY(ReadGateway(gateway)));
+      usage::MergeRows(rows, TRY(ReadGateway(gateway)));
     }
   }
   std::map<std::vector<std::string>, Counts> sums;
