--- a/Libraries/LibRouting/Hash.h
+++ b/Libraries/LibRouting/Hash.h
@@ -1,4 +1,4 @@
-// The hash of rendezvous hashing and of prompt prefixes, by xxHash.
+// Hashes for rendezvous hashing and for prompt prefixes (xxHash).
 #pragma once
 
 #include <xxhash.h>
@@ -8,12 +8,13 @@
 
 namespace bramleyspan::routing {
 
-// A hash of `text` that differs with `seed`.
+// Returns a hash of `text`; each `seed` gives an independent hash function.
 inline uint64_t HashWith(std::string_view text, uint64_t seed) {
   return XXH64(text.data(), text.size(), seed);
 }
 
-// Names the first `bytes` bytes of a prompt; never zero.
+// Returns a hash of the first `bytes` bytes of a prompt; never zero, which
+// stands for "no prefix".
 inline uint64_t HashPrefix(std::string_view prompt, size_t bytes) {
   return HashWith(prompt.substr(0, bytes), 0) | 1U;
 }
--- a/Libraries/LibRouting/Policies.cc
+++ b/Libraries/LibRouting/Policies.cc
@@ -1,5 +1,5 @@
-// The policies that register themselves: the one in use and the baselines that
-// it is measured against.
+// The routing policies, each registered under its name: the default one and
+// baselines to compare it with.
 
 #include <algorithm>
 
@@ -23,8 +23,8 @@
   return {all[router.next_index++ % all.size()]};
 }
 
-// Every entry sees the same old report, so that all of them send to the same
-// target until the next one: the herd.
+// Failure: all entry processes see the same old report and send to the same
+// target until the next report (herd effect).
 std::vector<Candidate> PickLeastReported(Router& router,
                                          const Query& /*query*/,
                                          const std::vector<Candidate>& all,
@@ -41,8 +41,8 @@
   return {*HomeOf(query.prefix, all)};
 }
 
-// Bounded-load consistent hashing by the reports: the first target in the
-// prefix's own order that is not above the bound.
+// Bounded-load consistent hashing on the reported loads: the target that
+// rendezvous hashing prefers among those that are not above the bound.
 std::vector<Candidate> PickBoundedHome(Router& router,
                                        const Query& query,
                                        const std::vector<Candidate>& all,
@@ -70,8 +70,8 @@
                         query.random);
 }
 
-// The home of the prefix joins the random candidates; its cache shows in the
-// time that it estimates.
+// Adds the home of the prefix to the random candidates. A prefix in the home's
+// cache shortens the time to the first token that it estimates.
 std::vector<Candidate> PickProbesWithAffinity(Router& router,
                                               const Query& query,
                                               const std::vector<Candidate>& all,
--- a/Libraries/LibRouting/Routing.cc
+++ b/Libraries/LibRouting/Routing.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Each new call counts this share of the mean shortfall.
+// The weight of a new sample in the mean lateness is one over this.
 constexpr int64_t kNewSampleDivisor = 2;
 
 constexpr Duration kShortestRetryAfter = std::chrono::milliseconds(100);
@@ -21,8 +21,9 @@
                                               router.settings.admitted_share);
 }
 
-// Load bound of the home of a prefix: a popular prefix must not draw more load
-// to one target than the others carry, however good its cache is.
+// Whether the home of a prefix has more than its share of the load. A popular
+// prefix must not draw more load to one target than the others have, however
+// well its cache is filled.
 bool is_over_bound(const RoutingSettings& settings,
                    const ProbeAnswer& home,
                    const std::vector<ProbeAnswer>& answers) {
@@ -38,8 +39,8 @@
          settings.affinity_load_bound * others + settings.affinity_load_slack;
 }
 
-// What was learnt of the target is added to its promise. A target that always
-// says zero, or less than zero, would else win every comparison.
+// Adds the target's recorded lateness to its estimate. Otherwise a target that
+// always estimates zero, or less, would win every comparison.
 Duration ExpectedFirstToken(const Router& router,
                             const Query& query,
                             const ProbeAnswer& answer,
@@ -61,12 +62,12 @@
 
 void RecordLateness(Router& router,
                     const OutstandingCall& sent,
-                    Duration late,
+                    Duration sample,
                     TimePoint now) {
   Lateness& lateness =
       router.targets[sent.target].lateness_by_class[sent.service_class];
-  const Duration known = Decayed(router, lateness, now);
-  lateness.mean = known + (late - known) / kNewSampleDivisor;
+  const Duration previous = Decayed(router, lateness, now);
+  lateness.mean = previous + (sample - previous) / kNewSampleDivisor;
   lateness.at = now;
 }
 
@@ -128,12 +129,14 @@
     if (!answer.is_admitting || expected > allowed) {
       continue;
     }
-    const bool is_drawn = query.prefix != 0 && answer.cached_tokens > 0;
+    const bool has_cached_prefix =
+        query.prefix != 0 && answer.cached_tokens > 0;
     const std::tuple cost{
-        is_drawn && is_over_bound(router.settings, answer, answers),
+        has_cached_prefix && is_over_bound(router.settings, answer, answers),
         expected / router.settings.latency_resolution, answer.in_flight};
-    // Equals go by the order of the answers. By their exact times one of two
-    // idle targets would get every request, and news of the other none.
+    // Equal costs go by the order of the answers. If exact times decided, one
+    // of two idle targets would get every request, and nothing would be
+    // observed of the other.
     if (best == nullptr || cost < best_cost) {
       best = &answer;
       best_cost = cost;
@@ -172,11 +175,12 @@
           Decayed(router, record->second.lateness_by_class[index], now));
     }
   }
-  // A call that is overdue now tells more than calls that ended long ago: a
-  // frozen target ends none.
+  // A call that is overdue now counts besides the calls that have ended: a
+  // target that hangs ends no call.
   for (const auto& [call, sent] : router.outstanding) {
     if (sent.target == target && sent.service_class <= service_class) {
-      const auto waited = std::chrono::duration_cast<Duration>(now - sent.sent);
+      const auto waited =
+          std::chrono::duration_cast<Duration>(now - sent.sent_at);
       lateness = std::max(lateness, waited - sent.estimated);
     }
   }
@@ -202,8 +206,9 @@
       record.ejected_until > now) {
     return;
   }
-  // If many fail at once the cause is likely here or shared; ejecting them all
-  // would press the whole load on the few that are left.
+  // If many targets fail at once, the cause is probably in this process or
+  // shared by all targets. Ejecting them all would send the whole load to the
+  // few that remain.
   const auto most = static_cast<int64_t>(router.settings.largest_ejected_share *
                                          static_cast<double>(all.size()));
   const int64_t ejected =
@@ -231,7 +236,7 @@
       call, OutstandingCall{.target = choice.candidate.target,
                             .service_class = service_class,
                             .estimated = choice.estimated,
-                            .sent = now});
+                            .sent_at = now});
 }
 
 void HandleFirstByte(Router& router, uint64_t call, TimePoint now) {
@@ -240,7 +245,7 @@
     return;
   }
   const OutstandingCall& sent = found->second;
-  const auto waited = std::chrono::duration_cast<Duration>(now - sent.sent);
+  const auto waited = std::chrono::duration_cast<Duration>(now - sent.sent_at);
   RecordLateness(router, sent, waited - sent.estimated, now);
   router.outstanding.erase(found);
 }
--- a/Tests/LibRouting/TestFaults.cc
+++ b/Tests/LibRouting/TestFaults.cc
@@ -22,23 +22,24 @@
   return all;
 }
 
-ProbeAnswer Promise(const std::string& target,
-                    Duration first_token,
-                    uint32_t in_flight = 0) {
+ProbeAnswer MakeAnswer(const std::string& target,
+                       Duration first_token,
+                       uint32_t in_flight = 0) {
   return {.candidate = {"g", target},
           .is_admitting = true,
           .in_flight = in_flight,
           .first_token = first_token};
 }
 
-// A call that is promised `promised` and answered after `delivered`.
-void Serve(Router& router,
-           const std::string& target,
-           Duration estimated,
-           Duration delivered,
-           uint8_t service_class = 0) {
+// Runs a call for which the target estimated `estimated` and whose first byte
+// came after `actual`.
+void CompleteCall(Router& router,
+                  const std::string& target,
+                  Duration estimated,
+                  Duration actual,
+                  uint8_t service_class = 0) {
   HandleSent(router, 1, {{"g", target}, estimated}, service_class, kBegin);
-  HandleFirstByte(router, 1, kBegin + delivered);
+  HandleFirstByte(router, 1, kBegin + actual);
 }
 
 std::string ChosenOf(const Router& router,
@@ -51,66 +52,67 @@
 
 }  // namespace
 
-// Every draft of a studio crawls: one agent promises no wait at all, or less
-// than none, so every comparison of promises is won by it.
-TEST_CASE("a target that promises nonsense does not attract everything") {
-  for (const Duration nonsense : {Duration::zero(), -Duration(seconds(9))}) {
+// Failure: one agent always estimates a wait of zero or less, wins every
+// comparison and gets all requests although it is slow.
+TEST_CASE("a target with wrong estimates does not get every request") {
+  for (const Duration estimate : {Duration::zero(), -Duration(seconds(9))}) {
     Router router;
     const std::vector<ProbeAnswer> answers{
-        Promise("liar", nonsense), Promise("honest", milliseconds(200))};
-    CHECK(ChosenOf(router, answers) == "liar");
-    Serve(router, "liar", nonsense, seconds(2));
-    CHECK(ChosenOf(router, answers) == "honest");
-    // What is learnt fades, so that a mended target is tried again.
+        MakeAnswer("optimistic", estimate),
+        MakeAnswer("accurate", milliseconds(200))};
+    CHECK(ChosenOf(router, answers) == "optimistic");
+    CompleteCall(router, "optimistic", estimate, seconds(2));
+    CHECK(ChosenOf(router, answers) == "accurate");
+    // Lateness decays, so that a target that has recovered is tried again.
     CHECK(ChosenOf(router, answers, {}, kBegin + std::chrono::minutes(5)) ==
-          "liar");
+          "optimistic");
   }
 }
 
-// Drafts go on piling up at a frozen target: it ends no call, so a record of
-// ended calls alone says that it is as good as ever.
-TEST_CASE("a call that is overdue counts before it ends") {
+// Failure: a target that hangs goes on getting requests. It ends no call, so
+// records of ended calls alone show it as fast as before.
+TEST_CASE("an overdue call counts as lateness before it ends") {
   Router router;
   HandleSent(router, 1, {{"g", "frozen"}, milliseconds(50)}, 0, kBegin);
-  const std::vector<ProbeAnswer> answers{Promise("frozen", milliseconds(50)),
-                                         Promise("slow", milliseconds(500))};
+  const std::vector<ProbeAnswer> answers{MakeAnswer("frozen", milliseconds(50)),
+                                         MakeAnswer("slow", milliseconds(500))};
   CHECK(ChosenOf(router, answers, {}, kBegin + milliseconds(100)) == "frozen");
   CHECK(ChosenOf(router, answers) == "slow");
 }
 
-// Interactive requests are refused on the night before term while batch runs:
-// batch is overtaken and late, which was held against the target as a whole.
-TEST_CASE("lateness of a less urgent class does not count") {
+// Failure: interactive requests are refused while batch requests run. Batch
+// requests are overtaken and late, and their lateness was counted against the
+// target for all classes.
+TEST_CASE("lateness of a less urgent class is ignored") {
   Router router;
-  Serve(router, "a", milliseconds(100), seconds(15), 2);
+  CompleteCall(router, "a", milliseconds(100), seconds(15), 2);
   const Duration none{};
   CHECK(LatenessOf(router, "a", 0, kBegin + seconds(15)) == none);
   CHECK(LatenessOf(router, "a", 2, kBegin + seconds(15)) > seconds(5));
 }
 
-// Each request that probes a dead target waits for the probe's timeout: the
-// target is listed for as long as the VM list lags.
-TEST_CASE("a target that answers no probes is left out and tried again") {
+// Failure: every request that probes a dead target waits for the probe's
+// timeout, for as long as the VM list still names the target.
+TEST_CASE("a target that answers no probes is ejected and tried again") {
   Router router;
   const auto all = MakeCandidates(4);
   HandleTargetFailure(router, "t1", all, kBegin);
   CHECK(DropEjected(router, all, kBegin).size() == 4);
   HandleTargetFailure(router, "t1", all, kBegin);
   CHECK(DropEjected(router, all, kBegin).size() == 3);
-  const TimePoint back = kBegin + router.settings.first_ejection;
-  CHECK(DropEjected(router, all, back).size() == 4);
-  // One more failure is enough then, and it stays away for longer.
-  HandleTargetFailure(router, "t1", all, back);
-  CHECK(
-      DropEjected(router, all, back + router.settings.first_ejection).size() ==
-      3);
+  const TimePoint ejection_end = kBegin + router.settings.first_ejection;
+  CHECK(DropEjected(router, all, ejection_end).size() == 4);
+  // One more failure ejects it again, and for longer.
+  HandleTargetFailure(router, "t1", all, ejection_end);
+  CHECK(DropEjected(router, all, ejection_end + router.settings.first_ejection)
+            .size() == 3);
   HandleProbeAnswered(router, "t1");
   CHECK(router.targets.at("t1").failures == 0);
 }
 
-// An entry loses its own network for a moment, every probe fails, and after
-// that all callers' load lands on the one target that was not thrown out.
-TEST_CASE("no more than a share of the targets is left out") {
+// Failure: an entry process loses its network for a moment, all its probes
+// fail, and afterwards all load goes to the one target that was not ejected.
+TEST_CASE("at most a share of the targets is ejected") {
   Router router;
   const auto all = MakeCandidates(9);
   for (const Candidate& candidate : all) {
@@ -120,19 +122,19 @@
   CHECK(DropEjected(router, all, kBegin).size() == 6);
 }
 
-// One popular prompt slows its target while others idle: the cache hint drew
-// every request with that prefix there.
-TEST_CASE("the pull of a cached prefix is capped by load") {
+// Failure: a popular prompt overloads one target while others are idle, because
+// the cached prefix draws every request with it there.
+TEST_CASE("the load of a cached prefix's home is bounded") {
   const Router router;
-  ProbeAnswer home = Promise("home", milliseconds(20), 12);
+  ProbeAnswer home = MakeAnswer("home", milliseconds(20), 12);
   home.cached_tokens = 512;
-  const auto other = Promise("other", milliseconds(120), 10);
+  const auto other = MakeAnswer("other", milliseconds(120), 10);
   CHECK(ChosenOf(router, {home, other}, {.prefix = 7}) == "home");
   home.in_flight = 30;
   CHECK(ChosenOf(router, {home, other}, {.prefix = 7}) == "other");
 }
 
-TEST_CASE("a prefix keeps its home when another target goes") {
+TEST_CASE("a prefix keeps its home when another target is removed") {
   auto all = MakeCandidates(10);
   std::map<uint64_t, std::string> homes;
   for (uint64_t prefix = 1; prefix <= 100; ++prefix) {
@@ -148,9 +150,9 @@
         HashPrefix("one and the same start, another end", 10));
 }
 
-// Every entry picks the same target until the next report, the target drowns
-// and the others idle: the herd.
-TEST_CASE("probing policies spread entries that hold the same old reports") {
+// Failure: all entry processes pick the same target until the next report; it
+// is overloaded while the others are idle (herd effect).
+TEST_CASE("probing policies spread requests despite equal old reports") {
   const auto all = MakeCandidates(10);
   const auto spread = [&](std::string_view name) {
     std::map<std::string, int> picks;
--- a/Tests/LibRouting/TestRouting.cc
+++ b/Tests/LibRouting/TestRouting.cc
@@ -4,7 +4,8 @@
 
 namespace bramleyspan::routing {
 
-TEST_CASE("the admitting candidate with the least wait is chosen") {
+TEST_CASE(
+    "the admitting candidate with the least time to the first token wins") {
   using std::chrono::milliseconds;
   const std::vector<ProbeAnswer> answers{
       {{"a", "t1"}, true, 3, milliseconds(30)},
@@ -19,7 +20,7 @@
       ChooseCandidate(router, {}, answers, milliseconds(5), now).has_value());
 }
 
-TEST_CASE("candidates are distinct and no more than asked for") {
+TEST_CASE("picked candidates are distinct and at most as many as requested") {
   const std::vector<Candidate> all{{"a", "t1"}, {"b", "t2"}, {"c", "t3"}};
   const auto picked = PickCandidates(all, 2, 7);
   REQUIRE(picked.size() == 2);
