--- a/Libraries/LibLimits/Grants.cc
+++ b/Libraries/LibLimits/Grants.cc
@@ -13,7 +13,7 @@
 }
 
 void RecordUse(Share& share, double cost, TimePoint now) {
-  // Use counts for a second.
+  // Use decays to 1/e of its value in a second.
   share.rate *= std::exp(
       -Seconds(std::chrono::duration_cast<Duration>(now - share.rate_at)));
   share.rate += cost;
@@ -21,11 +21,11 @@
 }
 
 ShareDecision SpendFallback(Share& share, double cost, TimePoint now) {
-  Fill(share.floor, now);
-  if (share.floor.level < cost) {
-    return {SpendOutcome::kRefuse, TimeUntil(share.floor, cost)};
+  Fill(share.fallback, now);
+  if (share.fallback.level < cost) {
+    return {SpendOutcome::kRefuse, TimeUntil(share.fallback, cost)};
   }
-  share.floor.level -= cost;
+  share.fallback.level -= cost;
   return {.outcome = SpendOutcome::kAdmit};
 }
 
@@ -58,7 +58,7 @@
       std::min(1.0, static_cast<double>(reached_entries) /
                         static_cast<double>(std::max<size_t>(all_entries, 1)));
   allocator.bucket.rate = limit * share;
-  // Room for one request at least, or a small limit would never be reached.
+  // Room for at least one request; otherwise a small limit would admit none.
   allocator.bucket.capacity =
       std::max(1.0, allocator.bucket.rate * Seconds(settings.burst));
   allocator.bucket.level =
@@ -72,7 +72,8 @@
   Fill(allocator.bucket, now);
   const double even = allocator.bucket.level /
                       static_cast<double>(std::max<size_t>(requesters, 1));
-  // Fractions would lie about where no request can use them.
+  // At least one whole unit: grants of less than one request would lie unused
+  // at entry processes.
   const double most = std::max(1.0, std::floor(even));
   if (allocator.bucket.level < 1) {
     return 0;
@@ -128,13 +129,15 @@
     return;
   }
   share.is_requesting = false;
-  // Never both: with a grant the floor stops.
+  // Failure: spending the grant and the fallback share together exceeds the
+  // limit. A grant ends the use of the fallback share.
   share.is_using_fallback = false;
   share.granted += granted;
   if (granted <= 0) {
     share.refused_until = now + retry_after;
   }
-  // Counted from the ask, which is before the keeper let go of it.
+  // Counted from the request, which is before the allocator took it from its
+  // bucket.
   share.granted_until = share.requested_at + settings.grant_lifetime;
 }
 
@@ -148,16 +151,16 @@
   const double rate =
       limit / static_cast<double>(std::max<size_t>(all_entries, 1));
   if (!share.is_using_fallback) {
-    // The floor starts empty: what was granted last may have been used just
-    // now.
-    share.floor = {.rate = rate, .filled_at = now};
+    // The fallback share starts empty, because the last grant may have been
+    // spent just now.
+    share.fallback = {.rate = rate, .filled_at = now};
     share.is_using_fallback = true;
-    // Never both: with the floor the grant is void.
+    // The start of the fallback share voids the grant, for the same reason.
     share.granted = 0;
   }
-  Fill(share.floor, now);
-  share.floor.rate = rate;
-  share.floor.capacity = std::max(1.0, rate * Seconds(settings.burst));
+  Fill(share.fallback, now);
+  share.fallback.rate = rate;
+  share.fallback.capacity = std::max(1.0, rate * Seconds(settings.burst));
 }
 
 }  // namespace bramleyspan::limits
--- a/Libraries/LibLimits/Grants.h
+++ b/Libraries/LibLimits/Grants.h
@@ -1,10 +1,13 @@
-// A rate that an owner agreed to, kept by all entries together without a store.
-// The owner's keeper, the entry that rendezvous hashing names, holds the one
-// token bucket; other entries draw short grants from it (amounts, not rates:
-// what was drawn is gone from the bucket, so that no two entries hold the same
-// right). An entry that cannot reach the keeper lives on its floor, an even
-// share of the limit; a keeper hands out only the share of the entries that it
-// reaches, so that the two parts of a parted fleet add up to the limit.
+// A rate limit of one owner, enforced by all entry processes together without a
+// store. The owner's allocator, an entry process chosen by rendezvous hashing,
+// holds the only token bucket; the other entry processes request short-lived
+// grants from it. Grants are amounts, not rates: a granted amount has left the
+// bucket, so that no two processes can spend it.
+//
+// An entry process that cannot reach the allocator uses a fallback share, an
+// even part of the limit. An allocator hands out only the part of the limit
+// that belongs to the entry processes that it reaches, so that both sides of a
+// network partition together stay within the limit.
 #pragma once
 
 #include <cstdint>
@@ -17,30 +20,32 @@
 namespace bramleyspan::limits {
 
 struct GrantSettings {
-  // A grant not used by then is void.
+  // A grant that is not spent within this time expires.
   Duration grant_lifetime = std::chrono::milliseconds(500);
-  // An entry asks for what it expects to use in this time.
+  // An entry process requests what it expects to spend in this time.
   Duration request_horizon = std::chrono::milliseconds(200);
-  // Without a reply after this time the keeper counts as unreachable.
+  // Without a reply after this time the allocator counts as unreachable.
   Duration request_timeout = std::chrono::milliseconds(50);
-  // After this time without a keeper an entry asks again.
+  // How long an entry process uses its fallback share before it sends the next
+  // request to the allocator.
   Duration request_retry_interval = std::chrono::milliseconds(500);
-  // The bucket holds what the rate brings in this time.
+  // The bucket holds at most what the rate brings in this time.
   Duration burst = std::chrono::milliseconds(500);
 };
 
-// The keeper of an owner among the names of live entries; empty for none.
+// Returns the allocator of an owner among the names of live entry processes;
+// empty if there are none.
 std::string AllocatorOf(std::string_view owner,
                         const std::vector<std::string>& entries);
 
-// The keeper's side of one limit.
+// The allocator's state of one limit.
 struct Allocator {
   TokenBucket bucket;
 };
 
-// Sets the rate that a keeper hands out: `limit` a second, times the share of
-// the entries that it reaches. A new keeper starts with an empty bucket: what
-// its predecessor handed out may still be in use.
+// Sets the rate that an allocator hands out: `limit` units a second times the
+// share of the entry processes that it reaches. A new allocator starts with an
+// empty bucket, because grants of its predecessor may still be in use.
 void SetLimit(Allocator& allocator,
               const GrantSettings& settings,
               double limit,
@@ -48,40 +53,44 @@
               size_t all_entries,
               TimePoint now);
 
-// An entry asks for `wanted`; returns what it is granted, at most an even share
-// of the bucket among `askers` if `wanted` exceeds that.
+// Returns how much of `wanted` a requesting entry process is granted: at most
+// an even share of the bucket among `requesters`, but at least one unit if the
+// bucket holds one.
 double HandleGrantRequest(Allocator& allocator,
                           double wanted,
                           size_t requesters,
                           TimePoint now);
 
-// When the keeper will have something to grant again.
+// Returns the time until the allocator has something to grant again.
 Duration RetryAfterOf(const Allocator& allocator);
 
-// An entry's side of one limit.
+// An entry process's state of one limit.
 struct Share {
-  // The keeper has nothing until then; nobody is asked before.
+  // The bucket is empty until then; no request is sent to the allocator before.
   TimePoint refused_until;
-  // Granted and not used; void at `granted_until`.
+  // Granted and not yet spent; expires at `granted_until`.
   double granted = 0;
   TimePoint granted_until;
-  // The floor. It fills only while the keeper is unreachable.
-  TokenBucket floor;
+  // The fallback share. It fills only while the allocator is unreachable.
+  TokenBucket fallback;
   bool is_using_fallback = false;
-  // The outstanding ask, if any.
+  // The outstanding request for a grant, if any. `request_number` tells its
+  // reply from late ones.
   bool is_requesting = false;
   TimePoint requested_at;
   uint64_t request_number = 0;
-  // Decayed use, in units a second, by which it asks ahead.
+  // Decayed use in units a second; it determines how much is requested in
+  // advance.
   double rate = 0;
   TimePoint rate_at;
 };
 
 enum class SpendOutcome {
   kAdmit,
-  // Over the limit; refuse at once.
+  // The limit is exceeded; refuse at once.
   kRefuse,
-  // Ask the keeper; the request waits for the reply, request_timeout at most.
+  // Send a request to the allocator. The caller's request waits for the reply,
+  // request_timeout at most.
   kRequestGrant,
 };
 
@@ -90,23 +99,25 @@
   Duration retry_after{};
 };
 
-// A request that costs `cost` arrives, for the first time or after a reply.
+// Decides about a caller's request that costs `cost` units, when it arrives and
+// again after the allocator's reply.
 ShareDecision Spend(Share& share,
                     const GrantSettings& settings,
                     double cost,
                     TimePoint now);
 
-// How much to ask the keeper for while `pending` waits at this entry. Marks the
-// ask as outstanding; its number goes with the reply.
+// Returns how much to request from the allocator while `pending` units wait
+// here, and marks the request as outstanding. The reply must carry the same
+// request_number.
 double StartGrantRequest(Share& share,
                          const GrantSettings& settings,
                          double pending,
                          TimePoint now);
 
-// The keeper's reply to ask number `ask`; late ones are dropped, because the
-// entry may have lived on its floor since. After an empty grant the entry
-// refuses by itself for `retry_after`: asking for each refused request would
-// bring the whole overload to the keeper.
+// Handles the allocator's reply to a request. Late replies are dropped, because
+// the process may have spent its fallback share since. After an empty grant the
+// process refuses by itself for `retry_after`: one request to the allocator for
+// each refused one would bring the whole overload to the allocator.
 void HandleGrant(Share& share,
                  const GrantSettings& settings,
                  uint64_t request_number,
@@ -114,8 +125,8 @@
                  Duration retry_after,
                  TimePoint now);
 
-// No reply came: the entry lives on its floor, `limit` / `all_entries` a
-// second, until the next ask is answered.
+// Handles a request without a reply: until the next reply the process uses its
+// fallback share of `limit` / `all_entries` units a second.
 void HandleGrantRequestTimeout(Share& share,
                                const GrantSettings& settings,
                                double limit,
--- a/Libraries/LibLimits/RetryBudget.h
+++ b/Libraries/LibLimits/RetryBudget.h
@@ -1,7 +1,7 @@
-// Retries and hedges as a share of first attempts: one budget per owner within
-// one per process. When many targets fail at once every caller's request wants
-// a second attempt, and without a budget the second attempts keep the rest of
-// the targets overloaded after the cause is gone (a retry storm).
+// Limits retries and hedged requests to a share of first attempts, by one
+// budget per owner and one for the whole process. Failure: many targets fail at
+// once, every request needs a second attempt, and the second attempts keep the
+// other targets overloaded after the cause is gone (a retry storm).
 #pragma once
 
 #include <map>
@@ -12,9 +12,9 @@
 namespace bramleyspan::limits {
 
 struct RetrySettings {
-  // Retries earned by each first attempt.
+  // Retries that each first attempt adds to a budget.
   double share = 0.1;
-  // What a budget holds at most, and at the start.
+  // What a budget holds at most and at the start.
   double burst = 10;
 };
 
@@ -24,11 +24,12 @@
   std::map<std::string, double> owner_levels;
 };
 
-// An owner's request is attempted for the first time.
+// Adds a first attempt's share to the budgets of its owner and of the process.
 void RecordFirstAttempt(RetryBudget& budget, const std::string& owner);
 
-// Takes one retry or hedge of an owner, if both budgets have one left. The
-// caller has made sure that the request may be repeated or has not run.
+// Takes one retry or hedged request from both budgets; returns false and takes
+// nothing if either is empty. The caller has checked that the request may be
+// repeated or has not run.
 bool TakeRetry(RetryBudget& budget, const std::string& owner);
 
 }  // namespace bramleyspan::limits
--- a/Libraries/LibLimits/TokenBucket.h
+++ b/Libraries/LibLimits/TokenBucket.h
@@ -1,4 +1,5 @@
-// A token bucket in virtual time.
+// A token bucket that is given the current time, so that tests can use a
+// virtual clock.
 #pragma once
 
 #include <algorithm>
@@ -7,7 +8,7 @@
 
 namespace bramleyspan::limits {
 
-// Holds up to `capacity` and gains `rate` a second.
+// Holds up to `capacity` tokens and gains `rate` tokens a second.
 struct TokenBucket {
   double rate = 0;
   double capacity = 0;
@@ -23,7 +24,7 @@
   bucket.filled_at = now;
 }
 
-// Takes up to `wanted`; returns what it got.
+// Takes up to `wanted` tokens; returns how many it took.
 inline double TakeUpTo(TokenBucket& bucket, double wanted, TimePoint now) {
   Fill(bucket, now);
   const double taken = std::clamp(wanted, 0.0, std::max(bucket.level, 0.0));
@@ -31,7 +32,8 @@
   return taken;
 }
 
-// The time until the bucket holds `wanted`.
+// Returns the time until the bucket holds `wanted` tokens, at most 60 s. Call
+// Fill first.
 inline Duration TimeUntil(const TokenBucket& bucket, double wanted) {
   constexpr double kLongest = 60;
   const double missing = std::max(0.0, wanted - bucket.level);
--- a/Tests/LibLimits/TestGrants.cc
+++ b/Tests/LibLimits/TestGrants.cc
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TEST_CASE("a grant is spent and then asked for again") {
+TEST_CASE("a grant is spent, then a new one is requested") {
   Share share;
   CHECK(Spend(share, kSettings, 1, kBegin).outcome ==
         SpendOutcome::kRequestGrant);
@@ -32,9 +32,10 @@
         SpendOutcome::kRequestGrant);
 }
 
-// An owner gets more than it agreed to while a zone is parted: entries that
-// lost the keeper live on their floor and still spend what it granted before.
-TEST_CASE("never both the floor and a grant") {
+// Failure: an owner exceeds its limit during a network partition. Entry
+// processes that lost the allocator use their fallback share and still spend
+// what it granted before.
+TEST_CASE("the fallback share and a grant are never spent together") {
   Share share;
   StartGrantRequest(share, kSettings, 10, kBegin);
   Grant(share, share.request_number, 10);
@@ -42,22 +43,22 @@
   const uint64_t late = share.request_number;
   HandleGrantRequestTimeout(share, kSettings, 9, 9, kBegin);
   CHECK(Spend(share, kSettings, 1, kBegin).outcome == SpendOutcome::kRefuse);
-  // The reply that comes after the timeout is void as well.
+  // A reply that comes after the timeout is void as well.
   Grant(share, late, 10);
   CHECK(share.granted == 0);
   const TimePoint later = kBegin + milliseconds(1000);
   StartGrantRequest(share, kSettings, 1, later);
   HandleGrantRequestTimeout(share, kSettings, 9, 9, later);
   CHECK(Spend(share, kSettings, 1, later).outcome == SpendOutcome::kAdmit);
-  // With a grant the floor stops.
+  // A grant ends the use of the fallback share.
   StartGrantRequest(share, kSettings, 1, later);
   Grant(share, share.request_number, 0);
   CHECK_FALSE(share.is_using_fallback);
 }
 
-// Each half of a parted fleet has a keeper of its own and hands out the whole
-// limit: the owner gets twice what it agreed to.
-TEST_CASE("the keepers of a parted fleet hand out the limit together") {
+// Failure: each side of a network partition has its own allocator that hands
+// out the whole limit, and the owner gets twice its limit.
+TEST_CASE("allocators on both sides of a partition together grant the limit") {
   Allocator six;
   Allocator three;
   SetLimit(six, kSettings, 90, 6, 9, kBegin);
@@ -72,9 +73,9 @@
   CHECK(granted >= 880);
 }
 
-// Every replaced keeper gives a burst on top of what the one before it has
-// just handed out.
-TEST_CASE("a new keeper starts with an empty bucket") {
+// Failure: each change of allocator admits a burst on top of what the previous
+// one has just granted.
+TEST_CASE("a new allocator starts with an empty bucket") {
   Allocator allocator;
   SetLimit(allocator, kSettings, 100, 9, 9, kBegin);
   CHECK(HandleGrantRequest(allocator, 10, 1, kBegin) == 0);
@@ -82,8 +83,9 @@
         doctest::Approx(10));
 }
 
-// The keeper drowns in asks exactly when an owner is far over its limit.
-TEST_CASE("after an empty grant an entry refuses by itself") {
+// Failure: the allocator is overloaded with requests exactly when an owner is
+// far above its limit.
+TEST_CASE("after an empty grant an entry process refuses by itself") {
   Share share;
   StartGrantRequest(share, kSettings, 1, kBegin);
   Grant(share, share.request_number, 0);
@@ -94,7 +96,7 @@
         SpendOutcome::kRequestGrant);
 }
 
-TEST_CASE("a grant that is not used in time is void") {
+TEST_CASE("a grant that is not spent in time expires") {
   Share share;
   StartGrantRequest(share, kSettings, 10, kBegin);
   Grant(share, share.request_number, 10);
@@ -103,7 +105,8 @@
         SpendOutcome::kRequestGrant);
 }
 
-TEST_CASE("one keeper is named whichever entry asks, and few owners move") {
+TEST_CASE(
+    "all entry processes choose the same allocator, and few owners move") {
   std::vector<std::string> entries{"entry-1", "entry-2", "entry-3", "entry-4"};
   const std::string allocator = AllocatorOf("studio-huber", entries);
   std::ranges::reverse(entries);
@@ -113,9 +116,11 @@
   CHECK(AllocatorOf("studio-huber", {}).empty());
 }
 
-// A third of the targets die, every request is sent again at once, and the
-// rest stay overloaded with second attempts long after the cause is gone.
-TEST_CASE("retries are a share of first attempts, by owner and in all") {
+// Failure: a third of the targets die, every request is repeated at once, and
+// second attempts keep the other targets overloaded after the cause is gone.
+TEST_CASE(
+    "retries are limited to a share of first attempts, per owner and in "
+    "total") {
   RetryBudget budget;
   int retries = 0;
   for (int i = 0; i < 1000; ++i) {
@@ -124,7 +129,7 @@
   }
   CHECK(retries <= 110);
   CHECK(retries >= 100);
-  // One owner's storm must not use up another's retries for good.
+  // One owner's retry storm must not use up another owner's retries for good.
   for (int i = 0; i < 20; ++i) {
     RecordFirstAttempt(budget, "maier");
   }
