--- a/Libraries/LibClaims/Claims.cc
+++ b/Libraries/LibClaims/Claims.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr size_t kParts = 5;
+constexpr size_t kKeyParts = 5;
 constexpr int kHexadecimal = 16;
 
 uint64_t EpochAt(const ClaimRegistry& registry, TimePoint now) {
@@ -19,7 +19,7 @@
                                registry.settings.epoch_length);
 }
 
-// The oldest epoch whose keys are young enough to be remembered.
+// Returns the oldest epoch whose keys are within their retention.
 uint64_t OldestEpochByAge(const ClaimRegistry& registry, TimePoint now) {
   const uint64_t current = EpochAt(registry, now);
   const uint64_t kept = registry.settings.retained_epochs;
@@ -44,7 +44,8 @@
   return number;
 }
 
-// The code covers whose key it is: a key that leaked is of no use to others.
+// The code covers the owner and the catalogue entry: nobody else can use a
+// leaked key.
 std::string CodeFor(const ClaimRegistry& registry,
                     const std::string& prefix,
                     const std::string& owner,
@@ -69,7 +70,7 @@
   return ClaimDecision::kIsUnknown;
 }
 
-// Works on a registry that may be const or not.
+// A template, so that it serves const and mutable registries.
 template <typename Registry>
 auto FindRecord(Registry& registry, const std::string& text)
     -> decltype(&registry.records.begin()->second.begin()->second) {
@@ -85,8 +86,9 @@
   return record == epoch->second.end() ? nullptr : &record->second;
 }
 
-// A record whose call has not ended. All ends pass through here: a key that
-// was refused or has ended keeps its state whatever arrives late.
+// Returns the record of a key whose call has not ended. Every end of a call
+// passes through here, so that a key that was refused or has ended keeps its
+// state whatever arrives later.
 ClaimRecord* FindRunning(ClaimRegistry& registry, const std::string& text) {
   ClaimRecord* record = FindRecord(registry, text);
   const bool is_running =
@@ -100,7 +102,8 @@
   record.state = ClaimState::kAnswerGone;
 }
 
-// That a call ran is remembered longer than what it answered.
+// Evicts answers, the oldest first. The records stay, so that the agent still
+// knows that the calls ran.
 void EvictAnswers(ClaimRegistry& registry) {
   while (registry.answer_bytes > registry.settings.most_answer_bytes) {
     ClaimRecord* oldest = FindRecord(registry, registry.kept_answers.front());
@@ -133,8 +136,8 @@
   }
 }
 
-// Makes room for one more key at the cost of the oldest epochs, but never of
-// the newest: a burst that fills one epoch is turned away instead.
+// Makes room for one more key by removing the oldest epochs, but never the
+// newest: a burst that fills a single epoch is refused instead.
 bool MakeRoom(ClaimRegistry& registry) {
   while (registry.record_count >= registry.settings.most_records) {
     const auto oldest = registry.records.lower_bound(registry.oldest_epoch);
@@ -160,10 +163,10 @@
 }  // namespace
 
 Result<ClaimKey> ParseClaimKey(std::string_view text) {
-  std::array<std::string_view, kParts> parts;
-  for (size_t i = 0; i < kParts; ++i) {
+  std::array<std::string_view, kKeyParts> parts;
+  for (size_t i = 0; i < kKeyParts; ++i) {
     const size_t dot = text.find('.');
-    const bool is_last = i + 1 == kParts;
+    const bool is_last = i + 1 == kKeyParts;
     if (is_last != (dot == std::string_view::npos)) {
       return Fail(ErrorCode::kMalformedRequest, "claim key",
                   "does not have five parts");
@@ -199,9 +202,10 @@
     return ClaimDecision::kIsForged;
   }
   const ClaimKey& key = parsed.value();
-  // Only the agent that owns a key may say "not run". A restarted agent has
-  // forgotten what its predecessor forwarded; running the key again could run
-  // the call twice. So the new incarnation, like any other agent, says unknown.
+  // Only the agent that issued a key may answer "not run". A restarted agent
+  // does not know what its previous incarnation forwarded; running the key
+  // again could run the call twice. So another incarnation, like any other
+  // agent, answers "unknown".
   if (key.agent != registry.agent || key.incarnation != registry.incarnation) {
     return ClaimDecision::kIsUnknown;
   }
@@ -209,20 +213,20 @@
     return ClaimDecision::kIsForged;
   }
   if (const ClaimRecord* record = FindRecord(registry, call.key)) {
-    // A key that a caller uses for two requests must not bring the one the
-    // other's answer.
+    // A caller that uses one key for two requests must not get the answer of
+    // the other request.
     return record->fingerprint == call.fingerprint
                ? DecisionFor(record->state)
                : ClaimDecision::kIsOtherCall;
   }
-  // A key whose epoch was forgotten may have run: it must not run again.
+  // A key whose epoch was removed may have run: it must not run again.
   const uint64_t oldest =
       std::max(registry.oldest_epoch, OldestEpochByAge(registry, now));
   if (key.epoch < oldest) {
     return ClaimDecision::kIsUnknown;
   }
-  // A key that cannot be remembered must not run, nor be called not run: its
-  // duplicate would find no trace of either.
+  // A key that cannot be stored must neither run nor get the answer "not run":
+  // a duplicate of it would find no record of either.
   if (!MakeRoom(registry)) {
     return ClaimDecision::kIsFull;
   }
--- a/Libraries/LibClaims/Claims.h
+++ b/Libraries/LibClaims/Claims.h
@@ -1,5 +1,6 @@
-// At-most-once execution. A claim key names the one agent incarnation that
-// decides about its call; that agent keeps in memory what became of each key.
+// At-most-once execution. A claim key names the only agent incarnation that
+// decides whether its call runs; that agent keeps the state of each key in
+// memory.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +15,7 @@
 
 namespace bramleyspan::claims {
 
-// How long keys are remembered, and how much memory that may take.
+// How long keys are retained, and how much memory they may take.
 struct ClaimSettings {
   Duration epoch_length = std::chrono::minutes(1);
   uint64_t retained_epochs = 10;
@@ -23,7 +24,7 @@
   size_t largest_answer = 1 << 20;
 };
 
-// A claim key in its parts.
+// The parts of a claim key.
 struct ClaimKey {
   std::string agent;
   uint64_t incarnation = 0;
@@ -34,38 +35,38 @@
   auto operator<=>(const ClaimKey&) const = default;
 };
 
-// A call as it is shown together with a key.
+// A call together with the key that the caller presents.
 struct ClaimedCall {
   std::string key;
   std::string owner;
   std::string entry;
-  // Digest of what the call asks for.
+  // Digest of the request, which binds the key to it.
   std::string fingerprint;
 };
 
-// An answer kept so that a repeated call gets it instead of running again.
+// A stored answer, which a repeated call gets instead of running again.
 struct StoredAnswer {
   uint16_t status = 0;
   std::string content_type;
   std::string body;
-  // The body outgrew the largest answer and was dropped.
+  // The body exceeded the largest answer and was dropped.
   bool is_too_large = false;
 };
 
 enum class ClaimState {
   // The call may have been forwarded and has not ended.
   kRunning,
-  // The call ran and its whole answer is kept.
+  // The call ran and its whole answer is stored.
   kDone,
-  // The call ran and its answer was too large or is evicted.
+  // The call ran, but its answer was too large or has been evicted.
   kAnswerGone,
-  // The call was forwarded and nobody knows how it ended.
+  // The call was forwarded and its outcome is unknown.
   kUnknown,
-  // The caller was told "not run"; the key can never run.
+  // The caller got the answer "not run"; the key can never run.
   kRefused,
 };
 
-// What the agent remembers of one key.
+// What the agent stores about one key.
 struct ClaimRecord {
   ClaimState state = ClaimState::kRunning;
   std::string fingerprint;
@@ -79,79 +80,83 @@
   uint64_t incarnation = 0;
   std::string secret;
   TimePoint started;
-  // Records by epoch, so that a whole epoch is forgotten at once.
+  // Records by epoch, so that a whole epoch is removed at once.
   std::map<uint64_t, std::map<std::string, ClaimRecord>> records;
-  // Keys of epochs before this one are forgotten; it never goes down.
+  // Keys of earlier epochs are removed; it never decreases.
   uint64_t oldest_epoch = 0;
   size_t record_count = 0;
   size_t answer_bytes = 0;
-  // Keys whose answer is kept, the oldest answer first.
+  // Keys whose answer is stored, the oldest answer first.
   std::deque<std::string> kept_answers;
 };
 
 enum class ClaimDecision {
-  // Forward the call; the key is marked as running.
+  // Forward the call; the key is now marked as running.
   kRun,
-  // The call is running; its answer will come.
+  // The call is running; its answer will follow.
   kIsRunning,
-  // The call ran; answer with the record's answer.
+  // The call ran; reply with the stored answer.
   kIsDone,
-  // The call ran, but its answer is not kept any more.
+  // The call ran, but its answer is no longer stored.
   kIsAnswerGone,
-  // The key was burnt by an earlier "not run"; it did not and will not run.
+  // The key was invalidated by an earlier "not run"; its call did not run and
+  // never will.
   kIsRefused,
-  // The key belongs to another agent, a forgotten epoch or incarnation, or the
-  // call ended unknown: nobody here can tell whether it ran.
+  // The key belongs to another agent or incarnation or to a removed epoch, or
+  // the outcome of its call is unknown: this agent cannot know whether it ran.
   kIsUnknown,
-  // The key was not issued by this agent to this owner's entry.
+  // This agent did not issue the key for this owner's catalogue entry.
   kIsForged,
-  // The key is bound to another request; this one did not and will not run.
+  // The key is bound to another request; this one did not run and will not.
   kIsOtherCall,
-  // There is no room to remember one more key, so that it must not run now.
+  // There is no room for one more key, so that its call must not run now.
   kIsFull,
 };
 
-// Parses a key. Fails with kMalformedRequest.
+// Parses a claim key. Fails with kMalformedRequest.
 Result<ClaimKey> ParseClaimKey(std::string_view text);
 
-// Issues a key for an owner's catalogue entry; `nonce` is random hexadecimal.
+// Returns a new key for an owner's catalogue entry; `nonce` is random
+// hexadecimal.
 std::string IssueClaim(const ClaimRegistry& registry,
                        const std::string& owner,
                        const std::string& entry,
                        const std::string& nonce,
                        TimePoint now);
 
-// Decides about a call with a key and marks the key as running for kRun.
+// Decides what to do with a call; for kRun it also marks the key as running.
 ClaimDecision AdmitClaim(ClaimRegistry& registry,
                          const ClaimedCall& call,
                          TimePoint now);
 
-// Burns a key that AdmitClaim let run and of whose call no byte was sent to
-// the back end. After this, and not before, the caller may be told "not run".
+// Invalidates a running key of whose call no byte was sent to the back end.
+// Only after this may the caller get the answer "not run".
 void RefuseClaim(ClaimRegistry& registry, const std::string& key);
 
-// Adds a part of the body to an answer that is to be kept.
+// Appends a part of the body to an answer that is being stored.
 void AppendToAnswer(const ClaimSettings& settings,
                     StoredAnswer& answer,
                     std::string_view bytes);
 
-// Records the whole answer of a running key.
+// Stores the whole answer of a running key.
 void FinishClaim(ClaimRegistry& registry,
                  const std::string& key,
                  StoredAnswer answer);
 
-// Records that a running key's call ended without a whole answer.
+// Records that the outcome of a running key's call is unknown, because it ended
+// without a whole answer.
 void MarkClaimUnknown(ClaimRegistry& registry, const std::string& key);
 
-// The record of a key, if it is remembered.
+// Returns the record of a key, or null if it is not retained.
 const ClaimRecord* FindClaim(const ClaimRegistry& registry,
                              const std::string& key);
 
-// Forgets the epochs that are too old; their keys are kIsUnknown from now on.
-// Keys that are still running stay until their call ends.
+// Removes epochs past their retention; their keys are kIsUnknown from now on.
+// Running keys stay until their call ends.
 void RemoveExpiredEpochs(ClaimRegistry& registry, TimePoint now);
 
-// How long a key issued now is remembered at least, unless memory runs out.
+// Returns how long a key issued now is retained at least, unless memory runs
+// out.
 Duration RetentionOf(const ClaimRegistry& registry);
 
 }  // namespace bramleyspan::claims
--- a/Libraries/LibClaims/ClosingRecord.cc
+++ b/Libraries/LibClaims/ClosingRecord.cc
@@ -17,33 +17,34 @@
   return closing_record;
 }
 
-bool AddClosingRecord(ClosingRecords& book,
+bool AddClosingRecord(ClosingRecords& records,
                       ClosingRecord closing_record,
                       TimePoint now) {
   const std::pair id{closing_record.agent, closing_record.incarnation};
-  if (book.closing_records.contains(id)) {
+  if (records.closing_records.contains(id)) {
     return false;
   }
-  book.received.emplace(id, now);
-  book.closing_records.emplace(id, std::move(closing_record));
+  records.received.emplace(id, now);
+  records.closing_records.emplace(id, std::move(closing_record));
   return true;
 }
 
-void RemoveOldClosingRecords(ClosingRecords& book, TimePoint now) {
-  std::erase_if(book.received, [&](const auto& item) {
-    const bool is_old = item.second + book.keep <= now;
+void RemoveOldClosingRecords(ClosingRecords& records, TimePoint now) {
+  std::erase_if(records.received, [&](const auto& item) {
+    const bool is_old = item.second + records.keep <= now;
     if (is_old) {
-      book.closing_records.erase(item.first);
+      records.closing_records.erase(item.first);
     }
     return is_old;
   });
 }
 
-// The code of the key is not checked: a forged key did not run either.
-ClosingRecordDecision DecideByClosingRecord(const ClosingRecords& book,
+// The key's authentication code is not checked: a forged key did not run
+// either.
+ClosingRecordDecision DecideByClosingRecord(const ClosingRecords& records,
                                             const ClaimKey& key) {
-  const auto found = book.closing_records.find({key.agent, key.incarnation});
-  if (found == book.closing_records.end()) {
+  const auto found = records.closing_records.find({key.agent, key.incarnation});
+  if (found == records.closing_records.end()) {
     return ClosingRecordDecision::kNoClosingRecord;
   }
   const ClosingRecord& closing_record = found->second;
--- a/Libraries/LibClaims/ClosingRecord.h
+++ b/Libraries/LibClaims/ClosingRecord.h
@@ -1,6 +1,6 @@
-// The last word of a stopping agent on its claim keys. A sealed registry runs
-// no key any more, so that whoever holds the seal can say of a key that it did
-// not run, after the agent is gone.
+// The final record of a stopping agent about its claim keys. After it is made
+// the agent runs no more calls, so that any process that holds the record can
+// prove that a key did not run, even after the agent has stopped.
 #pragma once
 
 #include <set>
@@ -11,46 +11,47 @@
 
 namespace bramleyspan::claims {
 
-// What became of all keys of one agent incarnation.
+// The state of all keys of one agent incarnation.
 struct ClosingRecord {
   std::string agent;
   uint64_t incarnation = 0;
-  // Keys of older epochs are forgotten and may have run.
+  // Keys of earlier epochs were removed and may have run.
   uint64_t oldest_epoch = 0;
-  // Nonces of the remembered keys that may have run.
+  // Nonces of the retained keys that may have run.
   std::set<std::string> may_have_run;
 };
 
-// Seals a registry. The agent must refuse every new key by now, and no call
-// may be running; a key that is nevertheless running counts as one that may
-// have run.
+// Returns the closing record of a registry. The agent must already refuse every
+// new key, and no call may be running; a key that still is counts as one that
+// may have run.
 ClosingRecord MakeClosingRecord(const ClaimRegistry& registry);
 
-// The seals that a process was given.
+// The closing records that a process has received.
 struct ClosingRecords {
-  // A key is of use for no longer than an agent remembers it.
+  // A record is kept for this time. A key is of no use for longer, because
+  // agents retain keys for less.
   Duration keep = std::chrono::minutes(15);
   std::map<std::pair<std::string, uint64_t>, ClosingRecord> closing_records;
   std::map<std::pair<std::string, uint64_t>, TimePoint> received;
 };
 
-// Takes a seal; returns false if it was known.
-bool AddClosingRecord(ClosingRecords& book,
+// Adds a closing record; returns false if it was already present.
+bool AddClosingRecord(ClosingRecords& records,
                       ClosingRecord closing_record,
                       TimePoint now);
 
-void RemoveOldClosingRecords(ClosingRecords& book, TimePoint now);
+void RemoveOldClosingRecords(ClosingRecords& records, TimePoint now);
 
 enum class ClosingRecordDecision {
-  // Only the key's agent can tell, if anybody.
+  // No record of the key's agent: only the agent itself can decide.
   kNoClosingRecord,
   // The call did not run and never will.
   kNotRun,
-  // The call may have run; nobody has its answer any more.
+  // The call may have run; its answer is lost.
   kMayHaveRun,
 };
 
-ClosingRecordDecision DecideByClosingRecord(const ClosingRecords& book,
+ClosingRecordDecision DecideByClosingRecord(const ClosingRecords& records,
                                             const ClaimKey& key);
 
 }  // namespace bramleyspan::claims
--- a/Tests/LibClaims/TestClaims.cc
+++ b/Tests/LibClaims/TestClaims.cc
@@ -36,9 +36,10 @@
 
 }  // namespace
 
-// A member's invoice is issued twice: the caller gave up on the first attempt
-// and asked again through another entry while the first was still running.
-TEST_CASE("a key runs once however often it is shown") {
+// Failure: a call runs twice. The caller gives up on the first attempt and
+// repeats the call through another entry process while the first is still
+// running.
+TEST_CASE("a key runs once however often it is presented") {
   ClaimRegistry registry = MakeRegistry(1);
   const TimePoint now = registry.started + minutes(1);
   const std::string key = Issue(registry, now);
@@ -49,8 +50,8 @@
   CHECK(FindClaim(registry, key)->answer.body == "invoice 1");
 }
 
-// A caller is told "not run" and takes a new key; the first attempt, delayed
-// on its way, arrives after that and runs as well.
+// Failure: a caller gets "not run" and takes a new key; then the first attempt
+// arrives late and runs as well.
 TEST_CASE("a refused key never runs") {
   ClaimRegistry registry = MakeRegistry(1);
   const TimePoint now = registry.started;
@@ -60,9 +61,9 @@
   CHECK(Admit(registry, key, now) == ClaimDecision::kIsRefused);
 }
 
-// The exchange with the back end reports its end twice, or after the caller
-// was told "not run": what was said once must stay true.
-TEST_CASE("what became of a key never changes") {
+// Failure: the exchange with the back end reports its end twice, or after the
+// caller got "not run", and the key's state contradicts the earlier answer.
+TEST_CASE("the final state of a key never changes") {
   ClaimRegistry registry = MakeRegistry(1);
   const TimePoint now = registry.started;
   const std::string refused = Issue(registry, now, "01");
@@ -78,9 +79,9 @@
   CHECK(Admit(registry, done, now) == ClaimDecision::kIsDone);
 }
 
-// The agent restarts and has forgotten that it forwarded a call; the caller
-// shows the key again and the call runs a second time.
-TEST_CASE("a key of another incarnation or a forgotten epoch is unknown") {
+// Failure: the agent restarts, has no record of a call that it forwarded, and
+// runs the call again when the caller presents the key.
+TEST_CASE("a key of another incarnation or a removed epoch is unknown") {
   ClaimRegistry before = MakeRegistry(1);
   ClaimRegistry after = MakeRegistry(2);
   const TimePoint now = before.started;
@@ -91,8 +92,9 @@
   CHECK(Admit(before, key, late) == ClaimDecision::kIsUnknown);
 }
 
-// A VM's name is given to another VM and an entry with an old list sends it a
-// key of its predecessor: "not run" would be a guess.
+// Failure: a VM's name is given to another VM, an entry process with an old VM
+// list sends it a key of the previous VM, and the agent answers "not run"
+// without knowing it.
 TEST_CASE("an agent does not answer for another agent's key") {
   ClaimRegistry owner = MakeRegistry(1);
   ClaimRegistry other = MakeRegistry(1);
@@ -101,7 +103,7 @@
   CHECK(Admit(other, key, other.started) == ClaimDecision::kIsUnknown);
 }
 
-TEST_CASE("a key is of no use to another owner, entry or request") {
+TEST_CASE("a key is rejected for another owner, catalogue entry or request") {
   ClaimRegistry registry = MakeRegistry(1);
   const TimePoint now = registry.started;
   const std::string key = Issue(registry, now);
@@ -114,9 +116,9 @@
         ClaimDecision::kIsOtherCall);
 }
 
-// A call runs for longer than keys are remembered. Were its record forgotten,
-// the caller who asks again would not get its answer.
-TEST_CASE("a running key is remembered until its call ends") {
+// Failure: a call runs for longer than keys are retained, its record is
+// removed, and a caller that repeats the call does not get its answer.
+TEST_CASE("a running key is retained until its call ends") {
   ClaimRegistry registry = MakeRegistry(1);
   const std::string key = Issue(registry, registry.started);
   REQUIRE(Admit(registry, key, registry.started) == ClaimDecision::kRun);
@@ -128,9 +130,9 @@
   CHECK(Admit(registry, key, late) == ClaimDecision::kIsUnknown);
 }
 
-// Large answers fill the agent's memory until it is killed, and with it every
-// call in flight becomes unknown.
-TEST_CASE("answers are evicted before the fact that the call ran") {
+// Failure: large answers fill the agent's memory until it is killed, and the
+// outcome of every call in flight becomes unknown.
+TEST_CASE("answers are evicted, but not the records of their calls") {
   ClaimRegistry registry = MakeRegistry(1);
   registry.settings.most_answer_bytes = 10;
   registry.settings.largest_answer = 8;
@@ -151,9 +153,9 @@
   CHECK(registry.answer_bytes == 6);
 }
 
-// A burst fills the table of keys. A key that ran without a record would run
-// again for its duplicate.
-TEST_CASE("a full registry forgets old epochs and then runs nothing") {
+// Failure: a burst fills the table of keys, a key runs without a record, and
+// its duplicate runs again.
+TEST_CASE("a full registry removes old epochs, then runs no new key") {
   ClaimRegistry registry = MakeRegistry(1);
   registry.settings.most_records = 2;
   const TimePoint now = registry.started;
@@ -171,7 +173,8 @@
   CHECK(registry.record_count == 2);
 }
 
-// Any order of shows, ends, eviction, forgetting and restarts.
+// Presents keys, ends calls, evicts answers, removes epochs and restarts in any
+// order.
 TEST_CASE("property: a key runs at most once and never after not run") {
   tests::CheckProperty(
       "keys of one agent", [](const std::vector<uint8_t>& steps) {
--- a/Tests/LibClaims/TestClosingRecord.cc
+++ b/Tests/LibClaims/TestClosingRecord.cc
@@ -17,23 +17,23 @@
   return key;
 }
 
-ClosingRecordDecision Decide(const ClosingRecords& book,
+ClosingRecordDecision Decide(const ClosingRecords& records,
                              const std::string& key) {
-  return DecideByClosingRecord(book, ParseClaimKey(key).value());
+  return DecideByClosingRecord(records, ParseClaimKey(key).value());
 }
 
 }  // namespace
 
-// An agent is stopped for a new release. Callers that hold its keys would hear
-// "unknown" from then on, also those whose calls surely never ran; and a caller
-// whose invoice was issued must not hear "not run".
-TEST_CASE("a seal tells which keys of a stopped agent never ran") {
+// Failure: an agent is stopped for a new release, and callers that hold its
+// keys get only "unknown", even for calls that never ran. A caller whose call
+// may have run must not get "not run".
+TEST_CASE("a closing record tells which keys of a stopped agent never ran") {
   ClaimRegistry registry;
   registry.agent = "t5";
   registry.incarnation = 1;
   const TimePoint now = registry.started;
-  const std::string forgotten = IssueAndAdmit(registry, "01", now);
-  FinishClaim(registry, forgotten, {.status = 200});
+  const std::string removed = IssueAndAdmit(registry, "01", now);
+  FinishClaim(registry, removed, {.status = 200});
   const TimePoint later = now + minutes(30);
   RemoveExpiredEpochs(registry, later);
   const std::string unused =
@@ -46,18 +46,18 @@
   const std::string refused = IssueAndAdmit(registry, "06", later);
   RefuseClaim(registry, refused);
 
-  ClosingRecords book;
-  CHECK(Decide(book, unused) == ClosingRecordDecision::kNoClosingRecord);
-  CHECK(AddClosingRecord(book, MakeClosingRecord(registry), later));
-  CHECK_FALSE(AddClosingRecord(book, MakeClosingRecord(registry), later));
-  CHECK(Decide(book, unused) == ClosingRecordDecision::kNotRun);
-  CHECK(Decide(book, refused) == ClosingRecordDecision::kNotRun);
-  CHECK(Decide(book, forgotten) == ClosingRecordDecision::kMayHaveRun);
-  CHECK(Decide(book, done) == ClosingRecordDecision::kMayHaveRun);
-  CHECK(Decide(book, lost) == ClosingRecordDecision::kMayHaveRun);
-  CHECK(Decide(book, running) == ClosingRecordDecision::kMayHaveRun);
-  RemoveOldClosingRecords(book, later + book.keep);
-  CHECK(Decide(book, unused) == ClosingRecordDecision::kNoClosingRecord);
+  ClosingRecords records;
+  CHECK(Decide(records, unused) == ClosingRecordDecision::kNoClosingRecord);
+  CHECK(AddClosingRecord(records, MakeClosingRecord(registry), later));
+  CHECK_FALSE(AddClosingRecord(records, MakeClosingRecord(registry), later));
+  CHECK(Decide(records, unused) == ClosingRecordDecision::kNotRun);
+  CHECK(Decide(records, refused) == ClosingRecordDecision::kNotRun);
+  CHECK(Decide(records, removed) == ClosingRecordDecision::kMayHaveRun);
+  CHECK(Decide(records, done) == ClosingRecordDecision::kMayHaveRun);
+  CHECK(Decide(records, lost) == ClosingRecordDecision::kMayHaveRun);
+  CHECK(Decide(records, running) == ClosingRecordDecision::kMayHaveRun);
+  RemoveOldClosingRecords(records, later + records.keep);
+  CHECK(Decide(records, unused) == ClosingRecordDecision::kNoClosingRecord);
 }
 
 }  // namespace bramleyspan::claims
