--- a/Services/bramleyspand/Answers.h
+++ b/Services/bramleyspand/Answers.h
@@ -1,4 +1,4 @@
-// The answers that callers and operators get, as JSON.
+// JSON answers for callers and operators.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -11,24 +11,25 @@
 
 namespace bramleyspan {
 
-// Whether a failed request ran, as far as it is proved.
+// Whether a failed request ran, as far as this is proved.
 enum class RunState { kNotRun, kUnknown };
 
-// A failure as a caller sees it.
+// The answer to a failed request.
 struct ErrorAnswer {
   Error error;
   RunState run = RunState::kNotRun;
-  // When it makes sense to come back; none if never.
+  // How long the caller should wait before it retries; none if it should not
+  // retry.
   std::optional<Duration> retry_after;
 };
 
-// The HTTP status that stands for a kind of failure.
+// Returns the HTTP status for an error code.
 int StatusFor(ErrorCode code);
 
-// The typed JSON answer for a failure, with Retry-After where it applies.
+// Returns the JSON answer for an error, with Retry-After where it applies.
 http::Response ToResponse(const ErrorAnswer& error_answer);
 
-// A JSON document as an answer.
+// Returns an answer with a JSON document as its body.
 http::Response JsonResponse(int status, const nlohmann::json& document);
 
 }  // namespace bramleyspan
--- a/Services/bramleyspand/CatalogueFeed.cc
+++ b/Services/bramleyspand/CatalogueFeed.cc
@@ -118,8 +118,8 @@
         CatalogueAlarm::kPeerDiverged,
         "a peer announced change " + catalogue::NewestChange(head.value()).id);
   }
-  // Nothing is told while shards are on their way: the peer would see the
-  // older revision and announce once more, and so on.
+  // Nothing is sent while shards are missing: the peer would see the older
+  // revision and announce its head again, endlessly.
   if (outcome == OfferOutcome::kKnown || outcome == OfferOutcome::kInForce) {
     this->SendInForce(connection);
   }
@@ -141,9 +141,9 @@
   }
 }
 
-// Brings a peer up that missed an announcement: one that was down, cut off or
-// started later. Without this it would obey the old revision until the next
-// change.
+// Sends the head to a peer that missed an announcement because it was down,
+// disconnected or started later. Otherwise it would use the old revision until
+// the next change.
 void CatalogueFeed::HandlePeerRevision(
     wire::Connection& connection,
     const catalogue::AcceptedChange& in_force) {
--- a/Services/bramleyspand/CatalogueFeed.h
+++ b/Services/bramleyspand/CatalogueFeed.h
@@ -1,4 +1,4 @@
-// Follows the catalogue within one process and passes it on to its peers.
+// Follows the catalogue in one process and passes it on to the process's peers.
 #pragma once
 
 #include <functional>
@@ -13,24 +13,25 @@
 
 namespace bramleyspan {
 
-// What an operator must look at; docs/operating/catalogue.md says what to do.
+// Conditions that need an operator; docs/operating/catalogue.md says what to
+// do.
 enum class CatalogueAlarm {
   // The key-value service does not answer.
   kStoreUnavailable,
-  // The key-value service holds an older state than what is in force.
+  // The key-value service holds an older state than the one in force.
   kStoreBehind,
-  // The key-value service lost accepted changes and has taken others.
+  // The key-value service has lost accepted changes and accepted others.
   kStoreDiverged,
-  // A peer has in force what this process must not follow.
+  // A peer has another history in force, which this process must not follow.
   kPeerDiverged,
-  // A head or a shard does not parse.
+  // A head or a shard cannot be parsed.
   kMalformed,
 };
 
-// The stable name of an alarm, such as "store_behind".
+// Returns the stable name of an alarm, such as "store_behind".
 std::string_view NameOf(CatalogueAlarm alarm);
 
-// Since when an alarm stands, and what it saw.
+// When an alarm was raised, and what caused it.
 struct RaisedAlarm {
   TimePoint since;
   std::string detail;
@@ -38,33 +39,35 @@
 
 class CatalogueFeed {
  public:
-  // Fetches shards by their digests; each is given to OfferShard.
+  // Fetches shards by their digests; each is then given to OfferShard.
   using FetchShards = std::function<void(const std::vector<std::string>&)>;
 
-  // Called when a newer revision has come in force here.
+  // Called when a newer revision is in force in this process.
   std::function<void()> on_in_force;
 
-  // Takes a head from anywhere; `fetch` is asked for what is missing.
+  // Handles a head from a peer or the store; calls `fetch` for the shards that
+  // are missing.
   catalogue::OfferOutcome OfferHead(const catalogue::Head& head,
                                     const FetchShards& fetch);
 
+  // Handles a shard from a peer or the store.
   void OfferShard(const std::string& document);
 
-  // Takes a head with all of its shards, as a commit leaves them.
+  // Handles a head with all of its shards, as a commit produces them.
   void OfferSnapshot(const catalogue::Snapshot& snapshot);
 
-  // Sends a peer the head that is in force here.
+  // Sends a peer the head that is in force in this process.
   void AnnounceHead(wire::Connection& connection) const;
 
-  // Tells a peer which change is in force here.
+  // Sends a peer the revision and the change that are in force in this process.
   void SendInForce(wire::Connection& connection) const;
 
-  // Asks a peer once more for the shards of a pending head. A request or its
-  // answer is lost with its connection; nobody else repeats it.
+  // Requests the shards of a pending head from a peer again. A request or its
+  // answer is lost with its connection, and no other process repeats it.
   void RequestPendingShards(wire::Connection& connection) const;
 
-  // Handles the frames by which peers pass the catalogue on. Returns false if
-  // the frame is of another kind.
+  // Handles the frames by which peers pass the catalogue on. Returns false for
+  // frames that others must handle too.
   bool HandleFrame(wire::Connection& connection, const wire::FrameT& frame);
 
   void Raise(CatalogueAlarm alarm, const std::string& detail);
@@ -85,7 +88,7 @@
     return catalogue::FindPendingShards(this->follower);
   }
 
-  // When the revision in force took force here.
+  // When the current revision came into force in this process.
   TimePoint in_force_since{};
   std::map<CatalogueAlarm, RaisedAlarm> alarms;
 
--- a/Services/bramleyspand/Flags.cc
+++ b/Services/bramleyspand/Flags.cc
@@ -19,7 +19,7 @@
 ABSL_FLAG(std::string,
           role,
           "",
-          "what this process is: entry, agent, gateway or rank");
+          "role of this process: entry, agent, gateway or rank");
 ABSL_FLAG(std::string, name, "", "name of this VM in the VM list");
 ABSL_FLAG(std::string, zone, "", "availability zone of this VM");
 ABSL_FLAG(std::string, ip, "", "IP number that this process listens on");
@@ -44,11 +44,11 @@
 ABSL_FLAG(std::string,
           operator_key_sha256,
           "",
-          "SHA-256 in hexadecimal of the key that operators show");
+          "SHA-256 in hexadecimal of the key that operators present");
 ABSL_FLAG(std::string,
           drain_bound_seconds,
           "",
-          "longest time that a planned stop waits for what is in flight");
+          "longest time that a planned stop waits for work in flight");
 ABSL_FLAG(std::string,
           log_level,
           "",
@@ -62,11 +62,12 @@
 ABSL_FLAG(std::string,
           directory,
           "",
-          "IP:PORT where a gateway tells callers whom to connect to");
+          "IP:PORT where a gateway serves the directory, which names the "
+          "addresses that callers may connect to");
 ABSL_FLAG(std::string,
           readiness,
           "",
-          "IP:PORT where a gateway tells whether it is ready");
+          "IP:PORT where a gateway reports whether it is ready");
 ABSL_FLAG(std::string,
           peer_ports,
           "",
@@ -76,7 +77,7 @@
 ABSL_FLAG(std::string,
           seeds,
           "",
-          "IP:PORT of processes that may be up, separated by commas");
+          "IP:PORT of processes that may be running, separated by commas");
 ABSL_FLAG(std::string,
           engine,
           "",
@@ -84,11 +85,12 @@
 ABSL_FLAG(std::string,
           repeat_ratio,
           "",
-          "repeats that all gateways may send for each request");
-ABSL_FLAG(std::string,
-          repeat_slack,
-          "",
-          "repeats that all gateways may send besides, in a window");
+          "repeats that all gateways together may send for each request");
+ABSL_FLAG(
+    std::string,
+    repeat_slack,
+    "",
+    "repeats that all gateways together may send in addition in each window");
 ABSL_FLAG(std::string,
           repeat_window_seconds,
           "",
@@ -101,25 +103,27 @@
           stop_bound_seconds,
           "",
           "after this time the platform kills a stopping process");
-ABSL_FLAG(std::string,
-          notice_bound_milliseconds,
-          "",
-          "within this time a store channel that fell silent must be noticed");
+ABSL_FLAG(
+    std::string,
+    notice_bound_milliseconds,
+    "",
+    "a store channel that stops delivering must be detected within this time");
 ABSL_FLAG(std::string,
           usage_interval_seconds,
           "",
-          "how often a gateway writes who caused which work; a kill loses as "
-          "much");
+          "how often a gateway writes usage documents; a kill loses the work "
+          "since the last write");
 ABSL_FLAG(
     std::string,
     group_fan_out,
     "",
-    "ranks of a group that one agent tells and hears itself, 2 to 64; the "
-    "same on all VMs");
+    "most ranks of a group that one agent exchanges messages with directly, "
+    "2 to 64; the same on all VMs");
 ABSL_FLAG(std::string,
           link_megabits,
           "",
-          "what this VM's link carries in a second; maps take half of it");
+          "bandwidth of this VM's network link in Mbit/s; transfers of expert "
+          "maps take half of it");
 
 namespace bramleyspan {
 
@@ -127,11 +131,11 @@
 
 constexpr std::string_view kVariablePrefix = "BRAMLEYSPAN_";
 
-// A setting with its flag and the value that holds if none is given.
+// A setting, its flag and its default value.
 struct SettingRow {
   std::string name;
   absl::Flag<std::string>* flag;
-  std::string fallback;
+  std::string default_value;
 };
 
 const auto& SettingRows() {
@@ -181,7 +185,7 @@
   return variable;
 }
 
-// Variables of bramleyspanctl, which an operator's shell may hold.
+// Variables of bramleyspanctl, which may be set in an operator's shell.
 constexpr std::array<std::string_view, 2> kToolVariables{
     "BRAMLEYSPAN_ENTRIES", "BRAMLEYSPAN_OPERATOR_KEY"};
 
@@ -201,7 +205,7 @@
       [&](const SettingRow& row) { return VariableOf(row.name) == variable; });
 }
 
-// The flag of "--link_port"; null if it is none.
+// Returns the flag of a word such as "--link_port"; null if there is none.
 absl::Flag<std::string>* FindFlag(std::string word) {
   if (!word.starts_with("--")) {
     return nullptr;
@@ -231,7 +235,7 @@
     if (const char* value = std::getenv(variable.c_str())) {
       return {value, "environment variable " + variable};
     }
-    return {row.fallback, "the default"};
+    return {row.default_value, "the default"};
   }
   return {"", "nowhere"};
 }
@@ -290,7 +294,8 @@
     std::replace(flag.begin(), flag.end(), '-', '_');
     text.append("  --").append(flag).append("  ");
     text.append(VariableOf(row.name));
-    text.append(row.fallback.empty() ? "" : "  (" + row.fallback + ")");
+    text.append(row.default_value.empty() ? ""
+                                          : "  (" + row.default_value + ")");
     text.append("  ").append(row.flag->Help()).append("\n");
   }
   return text;
--- a/Services/bramleyspand/Flags.h
+++ b/Services/bramleyspand/Flags.h
@@ -1,4 +1,4 @@
-// Where settings come from: flags, then environment variables, then defaults.
+// Sources of settings: flags first, then environment variables, then defaults.
 #pragma once
 
 #include <string>
@@ -8,23 +8,24 @@
 
 namespace bramleyspan {
 
-// Reads the flag, then the BRAMLEYSPAN_ environment variable, then the default
-// of a setting.
+// Returns the text of a setting from its flag, its BRAMLEYSPAN_ environment
+// variable or its default, the first that is given.
 SettingText LookupFlagOrEnvironment(const std::string& name);
 
-// Fails with kInvalidSetting if the environment holds a BRAMLEYSPAN_ variable
-// that is no setting: a misspelt one would silently leave its default.
+// Fails with kInvalidSetting if the environment has a BRAMLEYSPAN_ variable
+// that is not a setting: a misspelt one would silently leave the default in
+// use.
 Result<void> RefuseUnknownVariables();
 
-// Reads the files of --flagfile again. Lines are --name=value; a line that is
-// no setting of ours fails with kInvalidSetting and changes nothing, where the
-// command line's own parser would end the process.
+// Reads the files of --flagfile again. Lines are --name=value. A line that is
+// not a setting fails with kInvalidSetting and changes nothing; the parser of
+// the command line would end the process instead.
 Result<void> ReloadFlagFiles();
 
-// The files of --flagfile, separated by commas.
+// Returns the paths given by --flagfile, separated by commas.
 std::string FlagFiles();
 
-// The usage text of --help.
+// Returns the text of --help.
 std::string UsageMessage();
 
 }  // namespace bramleyspan
--- a/Services/bramleyspand/Link.h
+++ b/Services/bramleyspand/Link.h
@@ -11,17 +11,17 @@
 
 namespace bramleyspan {
 
-// A connection to a peer with what the peer told of itself.
+// A connection to a peer and what the peer has reported about itself.
 struct Link {
   std::shared_ptr<wire::Connection> connection;
   std::string process;
   std::string role;
   std::string zone;
   uint64_t incarnation = 0;
-  // What the peer last told to have in force, and when it first told so.
+  // The change that the peer last reported as in force, and when it first did.
   catalogue::AcceptedChange in_force;
   TimePoint in_force_since{};
-  // Whether the peer has said Hello.
+  // Whether the peer has sent Hello.
   bool has_sent_hello = false;
   bool is_leaving = false;
 };
@@ -29,7 +29,7 @@
 // Links by the name of the peer's VM.
 using LinkMap = std::map<std::string, Link>;
 
-// The link to a VM that takes new work, if any.
+// Returns the link to a VM that accepts new work; null if there is none.
 inline const Link* FindUsableLink(const LinkMap& links,
                                   const std::string& name) {
   const auto found = links.find(name);
--- a/Services/bramleyspand/Main.cc
+++ b/Services/bramleyspand/Main.cc
@@ -28,8 +28,8 @@
   return settings;
 }
 
-// Takes the settings anew. Wrong ones change nothing: a process that serves is
-// worth more than one that stops over a mistake in a file.
+// Reads the settings again. Invalid settings change nothing: a mistake in a
+// file must not stop a serving process.
 void Reload(Role& role) {
   const Result<void> read = ReloadFlagFiles();
   if (read.has_error()) {
@@ -47,7 +47,7 @@
   telemetry::Log(telemetry::LogLevel::kInfo, "main", "reloaded");
 }
 
-// When the settings' files were last written.
+// Returns a text that changes when a settings file is written.
 std::string StampOfFiles() {
   std::string stamp;
   std::istringstream paths(FlagFiles());
@@ -62,7 +62,7 @@
   return stamp;
 }
 
-// A file may also change without a signal.
+// Reloads the settings when a file changes without a signal.
 void WatchFiles(EventLoop& loop, Role& role, const std::string& seen) {
   constexpr Duration kFileCheckInterval = std::chrono::seconds(2);
   loop.RunAfter(kFileCheckInterval, [&loop, &role, seen] {
--- a/Services/bramleyspand/MetricNames.h
+++ b/Services/bramleyspand/MetricNames.h
@@ -1,4 +1,4 @@
-// Every metric that the daemon exports.
+// The metrics of the daemon that several of its files use.
 #pragma once
 
 #include "LibTelemetry/Metrics.h"
--- a/Services/bramleyspand/MetricsPage.h
+++ b/Services/bramleyspand/MetricsPage.h
@@ -1,4 +1,4 @@
-// The page of metrics that both roles serve at /metrics.
+// The page of metrics at /metrics.
 #pragma once
 
 #include "LibHTTP/Message.h"
@@ -7,10 +7,10 @@
 
 namespace bramleyspan {
 
-// Sets the gauges that every role has.
+// Sets the gauges that every role exports.
 void UpdateSharedGauges(const CatalogueFeed& feed);
 
-// All metrics as an answer.
+// Returns all metrics in the Prometheus text format.
 http::Response MetricsResponse();
 
 }  // namespace bramleyspan
--- a/Services/bramleyspand/OperatorKey.cc
+++ b/Services/bramleyspand/OperatorKey.cc
@@ -6,9 +6,9 @@
 
 std::string_view BearerKeyOf(const http::Request& request) {
   constexpr std::string_view kScheme = "Bearer ";
-  const auto shown = http::FindHeader(request.headers, "authorization");
-  return shown.starts_with(kScheme) ? shown.substr(kScheme.size())
-                                    : std::string_view();
+  const auto presented = http::FindHeader(request.headers, "authorization");
+  return presented.starts_with(kScheme) ? presented.substr(kScheme.size())
+                                        : std::string_view();
 }
 
 bool is_from_operator(const Settings& settings, const http::Request& request) {
--- a/Services/bramleyspand/OperatorKey.h
+++ b/Services/bramleyspand/OperatorKey.h
@@ -1,4 +1,4 @@
-// Who may use the operators' paths.
+// Authorization of operators.
 #pragma once
 
 #include "LibHTTP/Message.h"
@@ -6,11 +6,11 @@
 
 namespace bramleyspan {
 
-// Whether a request shows the operators' key.
+// Returns whether a request carries the operators' key.
 bool is_from_operator(const Settings& settings, const http::Request& request);
 
-// The key of "Authorization: Bearer KEY"; empty if the header is missing or
-// of another scheme.
+// Returns the key of "Authorization: Bearer KEY"; empty if the header is
+// missing or has another scheme.
 std::string_view BearerKeyOf(const http::Request& request);
 
 }  // namespace bramleyspan
--- a/Services/bramleyspand/PeerDatagrams.h
+++ b/Services/bramleyspand/PeerDatagrams.h
@@ -1,5 +1,6 @@
-// Datagrams between the system's own processes, counted by kind. One that can't
-// be read is counted, logged now and then, and changes nothing.
+// Datagrams between the system's own processes, counted by kind. A datagram
+// that cannot be decoded is counted, logged at a limited rate and otherwise
+// ignored.
 #pragma once
 
 #include <functional>
@@ -17,12 +18,12 @@
       std::function<void(const std::string& from_ip,
                          const membership::wire::MessageT& message)>;
 
-  // Fails with kConnectionFailed.
+  // Binds the socket. Fails with kConnectionFailed.
   static Result<std::unique_ptr<PeerDatagrams>> Bind(EventLoop& loop,
                                                      const Address& address,
                                                      OnMessage on_message);
 
-  // To the same port there.
+  // Sends a datagram to an IP number, to the port that is also bound here.
   void Send(const std::string& ip, std::string_view bytes);
 
  private:
--- a/Services/bramleyspand/Role.h
+++ b/Services/bramleyspand/Role.h
@@ -1,4 +1,4 @@
-// What a process is: each role registers itself with the kernel.
+// The roles of a process. Each role registers itself as a plugin.
 #pragma once
 
 #include <memory>
@@ -9,25 +9,25 @@
 
 namespace bramleyspan {
 
-// A started role; destroying it ends its work.
+// A started role; its destructor ends its work.
 class Role {
  public:
   virtual ~Role() = default;
 
-  // Starts a planned stop: nothing new is taken, what is in flight ends, then
-  // the loop is stopped.
+  // Starts a planned stop: no new work is accepted, work in flight ends, then
+  // the event loop is stopped.
   virtual void StartDrain() = 0;
 
-  // Takes settings that have changed. Addresses and names hold until the next
-  // start.
+  // Applies changed settings. Addresses and names keep their values until the
+  // next start.
   virtual void HandleSettings(const Settings& /*settings*/) {}
 };
 
-// Starts a role on the loop. Fails if an address cannot be bound.
+// Starts a role on the event loop. Fails if an address cannot be bound.
 using StartRole = Result<std::unique_ptr<Role>> (*)(EventLoop& loop,
                                                     const Settings& settings);
 
-// Makes and starts a role of a class; what its registration needs.
+// Creates and starts a role of a class; the function that a role registers.
 template <typename ConcreteRole>
 Result<std::unique_ptr<Role>> StartRoleOf(EventLoop& loop,
                                           const Settings& settings) {
--- a/Services/bramleyspand/Settings.cc
+++ b/Services/bramleyspand/Settings.cc
@@ -89,7 +89,7 @@
 
 Result<std::string> RequireName(const SettingLookup& lookup) {
   const SettingText given = lookup("name");
-  // Claim keys carry the name between dots.
+  // In claim keys the name stands between dots.
   if (given.text.empty() || given.text.find('.') != std::string::npos) {
     return FailFor("name", given, "a VM's name without dots");
   }
@@ -132,7 +132,7 @@
   return seeds;
 }
 
-// Parses the first of "7340,7355".
+// Parses the first port of a list such as "7340,7355".
 Result<uint16_t> RequireFirstPort(const SettingLookup& lookup,
                                   const std::string& name) {
   const SettingText given = lookup(name);
--- a/Services/bramleyspand/Settings.h
+++ b/Services/bramleyspand/Settings.h
@@ -15,35 +15,36 @@
 
 // Settings of the roles on a platform with a store: gateway and rank.
 struct FleetSettings {
-  // The platform's adapter.
+  // Name of the platform's adapter.
   std::string adapter;
   Address store;
-  // Where a gateway serves callers, the directory and its readiness.
+  // Where a gateway serves callers, its directory and its readiness.
   std::optional<Address> callers;
   std::optional<Address> directory;
   std::optional<Address> readiness;
-  // The port for the system's own processes; the same on all VMs.
+  // Port for the system's own processes; the same on all VMs.
   uint16_t peer_port = 0;
   uint16_t metrics_port = 0;
-  // IP numbers of processes that may be up.
+  // IP numbers of processes that may be running.
   std::vector<std::string> seeds;
   // The model server beside a rank's agent.
   std::optional<Address> engine;
-  // Repeats that all gateways together may send in any window.
+  // In any window all gateways together may send this many repeats for each
+  // request, and `repeat_slack` more.
   double repeat_ratio = 0;
   double repeat_slack = 0;
   Duration repeat_window{};
-  // How long callers may use the directory's answer.
+  // How long callers may use an answer of the directory.
   std::chrono::seconds directory_lifetime{1};
   // The platform kills a stopping process after this time.
   Duration stop_bound{};
-  // A store channel that fell silent must be noticed within this time.
+  // A store channel that stops delivering must be detected within this time.
   Duration notice_bound{};
-  // How often a gateway writes who caused which work.
+  // How often a gateway writes usage documents.
   Duration usage_interval{};
-  // Ranks that one agent tells and hears itself.
+  // Most ranks of a group that one agent exchanges messages with directly.
   uint32_t group_fan_out = 0;
-  // What this machine's link carries in a second.
+  // Bandwidth of this machine's network link.
   double link_bytes_per_second = 0;
 };
 
@@ -59,28 +60,28 @@
   Address vm_list;
   // The back end beside an agent.
   std::optional<Address> target;
-  // The longest time that a planned stop waits for what is in flight.
+  // The longest time that a planned stop waits for work in flight.
   Duration drain_bound = std::chrono::minutes(10);
   // Requests that the back end beside an agent runs at once.
   uint32_t target_slots = 16;
-  // The digest of the key that operators show.
+  // SHA-256 of the key that operators present, in hexadecimal.
   std::string operator_key_sha256;
   telemetry::LogFilter log_filter;
-  // Given for the roles gateway and rank only.
+  // Set for the roles gateway and rank only.
   std::optional<FleetSettings> fleet;
 };
 
-// The raw text of a setting and where it came from.
+// The text of a setting and its source.
 struct SettingText {
   std::string text;
   std::string source;
 };
 
-// Looks a setting up by its name, such as "link-port".
+// Returns the text of a setting by name, such as "link-port".
 using SettingLookup = std::function<SettingText(const std::string& name)>;
 
-// Checks all settings. Fails with kInvalidSetting that names the setting, its
-// source, its value and what is allowed.
+// Checks all settings. Fails with kInvalidSetting; the error names the setting,
+// its source, its value and what is allowed.
 Result<Settings> ParseSettings(const SettingLookup& lookup);
 
 }  // namespace bramleyspan
