--- a/Services/bramleyspand/Flags.cc
+++ b/Services/bramleyspand/Flags.cc
@@ -247,7 +247,7 @@
         assignment.substr(0, assignment.find('='));
     if (variable.starts_with(kVariablePrefix) && !is_known_variable(variable)) {
       return Fail(ErrorCode::kInvalidSetting, std::string(variable),
-                  "this environment variable is no setting; see --help");
+                  "this environment variable is not a setting; see --help");
     }
   }
   return Succeed();
@@ -273,7 +273,8 @@
       const size_t equals = line.find('=');
       absl::Flag<std::string>* flag = FindFlag(line.substr(0, equals));
       if (flag == nullptr || equals == std::string::npos) {
-        return Fail(ErrorCode::kInvalidSetting, line, "no setting of ours");
+        return Fail(ErrorCode::kInvalidSetting, line,
+                    "not a setting; see --help");
       }
       changes.emplace_back(flag, line.substr(equals + 1));
     }
