--- a/Libraries/LibRouting/Routing.cc
+++ b/Libraries/LibRouting/Routing.cc
@@ -10,19 +10,20 @@
 
 namespace {
 
-// Each new call counts this share of the mean shortfall.
-constexpr int64_t kNewShareDivisor = 2;
+// The weight of a new sample in the mean lateness is one over this.
+constexpr int64_t kNewSampleDivisor = 2;
 
 constexpr Duration kShortestRetryAfter = std::chrono::milliseconds(100);
 constexpr Duration kLongestRetryAfter = std::chrono::seconds(15);
 
-Duration AllowedOf(const Router& router, Duration deadline) {
+Duration LatestFirstToken(const Router& router, Duration deadline) {
   return std::chrono::duration_cast<Duration>(deadline *
                                               router.settings.admitted_share);
 }
 
-// Load bound of the home of a prefix: a popular prefix must not draw more load
-// to one target than the others carry, however good its cache is.
+// Whether the home of a prefix has more than its share of the load. A popular
+// prefix must not draw more load to one target than the others have, however
+// well its cache is filled.
 bool is_over_bound(const RoutingSettings& settings,
                    const ProbeAnswer& home,
                    const std::vector<ProbeAnswer>& answers) {
@@ -38,36 +39,36 @@
          settings.affinity_load_bound * others + settings.affinity_load_slack;
 }
 
-// What was learnt of the target is added to its promise. A target that always
-// says zero, or less than zero, would else win every comparison.
+// Adds the target's recorded lateness to its estimate. Otherwise a target that
+// always estimates zero, or less, would win every comparison.
 Duration ExpectedFirstToken(const Router& router,
                             const Query& query,
                             const ProbeAnswer& answer,
                             TimePoint now) {
-  const Duration promised = std::max(answer.first_token, Duration::zero());
-  return promised +
-         ShortfallOf(router, answer.candidate.target, query.service_class, now);
+  const Duration estimated = std::max(answer.first_token, Duration::zero());
+  return estimated +
+         LatenessOf(router, answer.candidate.target, query.service_class, now);
 }
 
 Duration Decayed(const Router& router,
-                 const Shortfall& shortfall,
+                 const Lateness& lateness,
                  TimePoint now) {
   constexpr int64_t kMostHalvings = 30;
   const auto halvings =
-      (now - shortfall.at) / router.settings.shortfall_half_life;
-  return shortfall.mean /
+      (now - lateness.at) / router.settings.lateness_half_life;
+  return lateness.mean /
          (int64_t{1} << std::clamp<int64_t>(halvings, 0, kMostHalvings));
 }
 
-void NoteShortfall(Router& router,
-                   const Outstanding& sent,
-                   Duration late,
-                   TimePoint now) {
-  Shortfall& shortfall =
-      router.targets[sent.target].shortfalls[sent.service_class];
-  const Duration known = Decayed(router, shortfall, now);
-  shortfall.mean = known + (late - known) / kNewShareDivisor;
-  shortfall.at = now;
+void RecordLateness(Router& router,
+                    const OutstandingCall& sent,
+                    Duration sample,
+                    TimePoint now) {
+  Lateness& lateness =
+      router.targets[sent.target].lateness_by_class[sent.service_class];
+  const Duration previous = Decayed(router, lateness, now);
+  lateness.mean = previous + (sample - previous) / kNewSampleDivisor;
+  lateness.at = now;
 }
 
 bool is_ejected(const Router& router,
@@ -120,7 +121,7 @@
                                       const std::vector<ProbeAnswer>& answers,
                                       Duration deadline,
                                       TimePoint now) {
-  const Duration allowed = AllowedOf(router, deadline);
+  const Duration allowed = LatestFirstToken(router, deadline);
   const ProbeAnswer* best = nullptr;
   std::tuple<bool, int64_t, uint32_t> best_cost;
   for (const ProbeAnswer& answer : answers) {
@@ -128,12 +129,14 @@
     if (!answer.is_admitting || expected > allowed) {
       continue;
     }
-    const bool is_drawn = query.prefix != 0 && answer.cached_tokens > 0;
+    const bool has_cached_prefix =
+        query.prefix != 0 && answer.cached_tokens > 0;
     const std::tuple cost{
-        is_drawn && is_over_bound(router.settings, answer, answers),
-        expected / router.settings.noise, answer.in_flight};
-    // Equals go by the order of the answers. By their exact times one of two
-    // idle targets would get every request, and news of the other none.
+        has_cached_prefix && is_over_bound(router.settings, answer, answers),
+        expected / router.settings.latency_resolution, answer.in_flight};
+    // Equal costs go by the order of the answers. If exact times decided, one
+    // of two idle targets would get every request, and nothing would be
+    // observed of the other.
     if (best == nullptr || cost < best_cost) {
       best = &answer;
       best_cost = cost;
@@ -153,33 +156,36 @@
   Duration best = kLongestRetryAfter;
   for (const ProbeAnswer& answer : answers) {
     const Duration expected = ExpectedFirstToken(router, query, answer, now);
-    best = std::min(best, expected - AllowedOf(router, deadline));
+    best = std::min(best, expected - LatestFirstToken(router, deadline));
   }
   best = std::clamp(best, kShortestRetryAfter, kLongestRetryAfter);
   return best + Duration(query.random % best.count());
 }
 
-Duration ShortfallOf(const Router& router,
-                     const std::string& target,
-                     uint8_t service_class,
-                     TimePoint now) {
-  Duration shortfall{};
+Duration LatenessOf(const Router& router,
+                    const std::string& target,
+                    uint8_t service_class,
+                    TimePoint now) {
+  Duration lateness{};
   const auto record = router.targets.find(target);
   if (record != router.targets.end()) {
     for (size_t index = 0; index <= service_class; ++index) {
-      shortfall = std::max(
-          shortfall, Decayed(router, record->second.shortfalls[index], now));
+      lateness = std::max(
+          lateness,
+          Decayed(router, record->second.lateness_by_class[index], now));
     }
   }
-  // A call that is overdue now tells more than calls that ended long ago: a
-  // frozen target ends none.
+  // A call that is overdue now counts besides the calls that have ended: a
+  // target that hangs ends no call.
   for (const auto& [call, sent] : router.outstanding) {
     if (sent.target == target && sent.service_class <= service_class) {
-      const auto waited = std::chrono::duration_cast<Duration>(now - sent.sent);
-      shortfall = std::max(shortfall, waited - sent.promised);
+      const auto waited =
+          std::chrono::duration_cast<Duration>(now - sent.sent_at);
+      lateness = std::max(lateness, waited - sent.estimated);
     }
   }
-  return shortfall <= router.settings.noise ? Duration::zero() : shortfall;
+  return lateness <= router.settings.latency_resolution ? Duration::zero()
+                                                        : lateness;
 }
 
 void HandleProbeAnswered(Router& router, const std::string& target) {
@@ -200,8 +206,9 @@
       record.ejected_until > now) {
     return;
   }
-  // If many fail at once the cause is likely here or shared; ejecting them all
-  // would press the whole load on the few that are left.
+  // If many targets fail at once, the cause is probably in this process or
+  // shared by all targets. Ejecting them all would send the whole load to the
+  // few that remain.
   const auto most = static_cast<int64_t>(router.settings.largest_ejected_share *
                                          static_cast<double>(all.size()));
   const int64_t ejected =
@@ -226,10 +233,10 @@
                 uint8_t service_class,
                 TimePoint now) {
   router.outstanding.insert_or_assign(
-      call, Outstanding{.target = choice.candidate.target,
-                        .service_class = service_class,
-                        .promised = choice.promised,
-                        .sent = now});
+      call, OutstandingCall{.target = choice.candidate.target,
+                            .service_class = service_class,
+                            .estimated = choice.estimated,
+                            .sent_at = now});
 }
 
 void HandleFirstByte(Router& router, uint64_t call, TimePoint now) {
@@ -237,13 +244,13 @@
   if (found == router.outstanding.end()) {
     return;
   }
-  const Outstanding& sent = found->second;
-  const auto waited = std::chrono::duration_cast<Duration>(now - sent.sent);
-  NoteShortfall(router, sent, waited - sent.promised, now);
+  const OutstandingCall& sent = found->second;
+  const auto waited = std::chrono::duration_cast<Duration>(now - sent.sent_at);
+  RecordLateness(router, sent, waited - sent.estimated, now);
   router.outstanding.erase(found);
 }
 
-void HandleForgotten(Router& router, uint64_t call) {
+void HandleNoFirstByte(Router& router, uint64_t call) {
   router.outstanding.erase(call);
 }
 
--- a/Libraries/LibUsage/Counts.cc
+++ b/Libraries/LibUsage/Counts.cc
@@ -10,15 +10,15 @@
   }
 }
 
-void TakeLarger(Counts& counts, const Counts& other) {
+void MergeMaximum(Counts& counts, const Counts& other) {
   for (const Unit& unit : kUnits) {
     counts.*unit.value = std::max(counts.*unit.value, other.*unit.value);
   }
 }
 
-void Join(Rows& rows, const Rows& other) {
+void MergeRows(Rows& rows, const Rows& other) {
   for (const auto& [source, counts] : other) {
-    TakeLarger(rows[source], counts);
+    MergeMaximum(rows[source], counts);
   }
 }
 
@@ -40,7 +40,8 @@
     if (tokens == 0) {
       continue;
     }
-    // Each takes its part of what is left, so that the last takes the rest.
+    // Each part is a share of what remains, so that the last one gets exactly
+    // the remainder.
     const auto part = static_cast<uint64_t>(
         static_cast<unsigned __int128>(bytes) * tokens / tokens_left);
     parts[entry] = part;
--- a/Services/bramleyspand/Gateway/ForwardingAnswers.cc
+++ b/Services/bramleyspand/Gateway/ForwardingAnswers.cc
@@ -89,7 +89,7 @@
   }
   this->SettlePermit();
   this->last_event_at = now;
-  usage::NoteEvent(this->meter, this->TokensPerEvent());
+  usage::RecordEvent(this->meter, this->TokensPerEvent());
   if (event.id) {
     this->last_event = event.id;
   }
--- a/Services/bramleyspand/Gateway/UsageRecorder.cc
+++ b/Services/bramleyspand/Gateway/UsageRecorder.cc
@@ -61,7 +61,7 @@
     };
     return;
   }
-  usage::TakeReport(this->aggregator, this->ledger.rows);
+  usage::ApplyReport(this->aggregator, this->ledger.rows);
   const auto writes = usage::DueWrites(this->aggregator);
   if (writes.empty()) {
     on_done();
@@ -104,7 +104,7 @@
   if (--this->open_writes > 0) {
     return;
   }
-  if (usage::ForgetWindows(this->aggregator, WindowNow(this->ledger))) {
+  if (usage::RemoveWindows(this->aggregator, WindowNow(this->ledger))) {
     this->documents.DropRevisions();
   }
   std::exchange(this->on_all_written, [] {})();
