--- a/Libraries/LibCatalogue/Catalogue.h
+++ b/Libraries/LibCatalogue/Catalogue.h
@@ -1,4 +1,5 @@
-// The catalogue as plain values: what operators declare and processes obey.
+// Plain values of the catalogue: the owners, entries and groups that operators
+// declare and processes apply.
 #pragma once
 
 #include <chrono>
@@ -12,16 +13,16 @@
 
 namespace bramleyspan::catalogue {
 
-// How urgent an entry's requests are; a lower value goes first.
+// Priority class of an entry's requests; a lower value is served first.
 enum class ServiceClass : uint8_t { kInteractive, kStandard, kBatch };
 
-// What answers an entry's requests.
+// Kind of back end that answers an entry's requests.
 enum class BackEndKind : uint8_t { kModel, kService };
 
 // Whether a request may run more than once.
 enum class Repetition : uint8_t { kRepeatable, kAtMostOnce };
 
-// What an owner agreed to; zero means not limited.
+// Limits of an owner or an entry; zero means unlimited.
 struct Limits {
   uint32_t requests_per_second = 0;
   uint32_t tokens_per_second = 0;
@@ -30,8 +31,8 @@
   bool operator==(const Limits&) const = default;
 };
 
-// A customer. Callers prove who they are with a key of which only the digest
-// is kept.
+// A customer. Its callers authenticate with a key, of which only the SHA-256
+// digest is stored.
 struct Owner {
   std::string name;
   std::string key_sha256;
@@ -40,23 +41,23 @@
   bool operator==(const Owner&) const = default;
 };
 
-// One kind of work of one owner.
+// One kind of request of an owner: its back end, priority, deadline and limits.
 struct Entry {
   std::string name;
   std::string owner;
   ServiceClass service_class = ServiceClass::kStandard;
   BackEndKind kind = BackEndKind::kModel;
-  // The model or the plain service that answers.
+  // Name of the model or plain service that answers.
   std::string back_end;
   Repetition repetition = Repetition::kRepeatable;
-  // The longest wait for the first byte of an answer.
+  // Maximum time to the first byte of an answer.
   std::chrono::milliseconds deadline{2000};
   Limits limits;
 
   bool operator==(const Entry&) const = default;
 };
 
-// Targets that answer together: the ranks of a model group in their order, or
+// Targets that serve one back end: the ranks of a model group in rank order, or
 // the replicas of a plain service.
 struct Group {
   std::string name;
@@ -65,13 +66,13 @@
   std::vector<std::string> targets;
   uint32_t experts = 0;
   uint32_t slots_per_rank = 0;
-  // Weight of a second of skew against a gigabyte moved, in [0, 1].
+  // Weight of one second of skew against one gigabyte moved, in [0, 1].
   double skew_weight = 0.5;
 
   bool operator==(const Group&) const = default;
 };
 
-// Everything that is declared, by name.
+// All declarations, by name.
 struct Catalogue {
   std::map<std::string, Owner> owners;
   std::map<std::string, Entry> entries;
@@ -80,7 +81,7 @@
   bool operator==(const Catalogue&) const = default;
 };
 
-// The owner whose key has this digest, if any.
+// Returns the owner whose key has this digest, or nullptr.
 const Owner* FindOwnerByKeyDigest(const Catalogue& catalogue,
                                   const std::string& key_sha256);
 
--- a/Libraries/LibCatalogue/Commit.cc
+++ b/Libraries/LibCatalogue/Commit.cc
@@ -6,29 +6,29 @@
 
 namespace {
 
-constexpr uint32_t kMostReads = 6;
+constexpr uint32_t kMaxReads = 6;
 
 CommitEffect Finish(Result<uint64_t> outcome) {
   return FinishCommit{std::move(outcome)};
 }
 
 CommitEffect WriteNextOrSwap(Commit& commit) {
-  if (commit.unwritten.empty()) {
+  if (commit.unwritten_shards.empty()) {
     return SwapHead{commit.head_version, SerializeHead(commit.next.head)};
   }
-  auto [digest, document] = std::move(commit.unwritten.back());
-  commit.unwritten.pop_back();
+  auto [digest, document] = std::move(commit.unwritten_shards.back());
+  commit.unwritten_shards.pop_back();
   return WriteShard{std::move(digest), std::move(document)};
 }
 
-CommitEffect ReadAgainOrGiveUp(Commit& commit, const Error& cause) {
+CommitEffect RetryReadOrFail(Commit& commit, const Error& cause) {
   if (commit.reads_left > 0) {
     --commit.reads_left;
-    return ReadHead{.attempt = kMostReads - commit.reads_left};
+    return ReadHead{.attempt = kMaxReads - commit.reads_left};
   }
-  // Before the first swap nothing can have changed. After one whose reply was
-  // lost only a read could tell, and none came through.
-  if (commit.is_swap_in_doubt) {
+  // Before the first swap nothing can have changed. After a swap without a
+  // reply only a read of the head shows its outcome, and every read failed.
+  if (commit.is_swap_outcome_unknown) {
     return Finish(Fail(ErrorCode::kOutcomeUnknown, commit.change.id,
                        "the key-value service did not answer"));
   }
@@ -36,14 +36,17 @@
                      "nothing was changed: " + Describe(cause)));
 }
 
-// Prepares a change set: only shards that the head does not name are written.
+// Prepares a change set. Only shards that the current head does not reference
+// are written.
 void PrepareChange(Commit& commit, const Head& current) {
   commit.next =
-      CutIntoShards(commit.change.catalogue, current, commit.change.id);
+      SplitIntoShards(commit.change.catalogue, current, commit.change.id);
   for (const auto& [slot, digest] : commit.next.head.shards) {
-    const auto before = current.shards.find(slot);
-    if (before == current.shards.end() || before->second != digest) {
-      commit.unwritten.emplace_back(digest, commit.next.shards.at(digest));
+    const auto previous_digest = current.shards.find(slot);
+    if (previous_digest == current.shards.end() ||
+        previous_digest->second != digest) {
+      commit.unwritten_shards.emplace_back(digest,
+                                           commit.next.shards.at(digest));
     }
   }
 }
@@ -51,13 +54,14 @@
 void AppendBounded(std::vector<AcceptedChange>& changes,
                    const AcceptedChange& change) {
   changes.push_back(change);
-  if (changes.size() > kRememberedChanges) {
+  if (changes.size() > kHistoryLength) {
     changes.erase(changes.begin());
   }
 }
 
-// Prepares a restore: every shard is written, since the service may have lost
-// any. Processes that followed the abandoned changes find them named.
+// Prepares a restore. Every shard is written, since the service may have lost
+// any of them. The new head lists the abandoned changes, so that processes
+// which have them in force can follow it.
 void PrepareRestore(Commit& commit,
                     const Head& current,
                     const KnownChanges& known) {
@@ -68,13 +72,14 @@
   others.insert(others.end(), known.begin(), known.end());
   for (const AcceptedChange& change : others) {
     highest = std::max(highest, change.revision);
-    if (!holds_change(head, change) && !has_abandoned(head, change)) {
+    if (!has_change(head, change) && !has_abandoned(head, change)) {
       AppendBounded(head.abandoned, change);
     }
   }
   head.revision = highest + 1;
   AppendBounded(head.changes, {commit.change.id, head.revision});
-  commit.unwritten.assign(commit.next.shards.begin(), commit.next.shards.end());
+  commit.unwritten_shards.assign(commit.next.shards.begin(),
+                                 commit.next.shards.end());
 }
 
 Result<Head> ParseStoredHead(const StoredHead& stored) {
@@ -84,8 +89,8 @@
   return ParseHead(stored.text);
 }
 
-// The worst that the stored head is to any of the changes known in force.
-Lineage WorstLineage(const Head& current, const KnownChanges& known) {
+// Returns the worst lineage of the stored head relative to the known changes.
+Lineage FindWorstLineage(const Head& current, const KnownChanges& known) {
   Lineage worst = Lineage::kSame;
   for (const AcceptedChange& change : known) {
     worst = std::max(worst, CompareLineage(current, change));
@@ -93,32 +98,34 @@
   return worst;
 }
 
-// A service that lacks what is in force has come back with an older state. A
-// commit on top of it would be accepted and yet never take force, or undo an
-// accepted change on a process that was away; so it is refused until an
-// operator has restored.
-CommitEffect RefuseBehind(const Commit& commit, const Head& current) {
+// The service lacks a change that is in force, so it was restored to an older
+// state. A commit on top of that state would be accepted but never take force,
+// or would undo an accepted change in a process that was offline. Commits fail
+// until an operator restores the catalogue.
+CommitEffect FailStoreBehind(const Commit& commit, const Head& current) {
   const std::string detail = "the key-value service holds revision " +
                              std::to_string(current.revision) +
                              " and lacks a change that is in force";
-  return Finish(Fail(commit.is_swap_in_doubt ? ErrorCode::kOutcomeUnknown
-                                             : ErrorCode::kStoreBehind,
+  return Finish(Fail(commit.is_swap_outcome_unknown ? ErrorCode::kOutcomeUnknown
+                                                    : ErrorCode::kStoreBehind,
                      commit.change.id, detail));
 }
 
-CommitEffect RefuseConflict(const Commit& commit, const Head& current) {
+CommitEffect FailConflict(const Commit& commit, const Head& current) {
   const uint64_t base = commit.change.base_revision;
   const std::string detail =
       "revision " + std::to_string(current.revision) +
       " is in force, the change was made from revision " + std::to_string(base);
-  // If this change was accepted, then as the one after its base. Where that is
-  // forgotten, "conflict" would claim that it surely was not.
-  const bool is_forgotten =
+  // If this change was accepted, its revision is the one after its base. If the
+  // history no longer reaches back that far, kConflict would wrongly state that
+  // it was not accepted.
+  const bool is_before_history =
       !current.changes.empty() && base + 1 < current.changes.front().revision;
   return Finish(Fail(
-      is_forgotten ? ErrorCode::kOutcomeUnknown : ErrorCode::kConflict,
+      is_before_history ? ErrorCode::kOutcomeUnknown : ErrorCode::kConflict,
       commit.change.id,
-      is_forgotten ? detail + ", which is older than the history" : detail));
+      is_before_history ? detail + ", which is older than the history"
+                        : detail));
 }
 
 CommitEffect ContinueRestore(Commit& commit,
@@ -126,15 +133,15 @@
                              const KnownChanges& known) {
   const Head& in_force = commit.restored->head;
   for (const AcceptedChange& change : known) {
-    if (commit.scope == RestoreScope::kStore &&
-        !holds_change(in_force, change) && !holds_change(current, change)) {
+    if (commit.scope == RestoreScope::kStore && !has_change(in_force, change) &&
+        !has_change(current, change)) {
       return Finish(Fail(ErrorCode::kConflict, commit.change.id,
                          "another process has change " + change.id +
                              " in force, which would be lost: restore there, "
                              "or give up all other branches"));
     }
   }
-  if (WorstLineage(current, known) <= Lineage::kNewer) {
+  if (FindWorstLineage(current, known) <= Lineage::kNewer) {
     return Finish(Fail(ErrorCode::kConflict, commit.change.id,
                        "the key-value service lacks nothing"));
   }
@@ -147,7 +154,7 @@
 CommitEffect StartCommit(Commit& commit, ChangeSet change) {
   commit = Commit{};
   commit.change = std::move(change);
-  commit.reads_left = kMostReads;
+  commit.reads_left = kMaxReads;
   return ReadHead{};
 }
 
@@ -159,7 +166,7 @@
   commit.scope = scope;
   commit.change.id = std::move(change_id);
   commit.restored = std::move(in_force);
-  commit.reads_left = kMostReads;
+  commit.reads_left = kMaxReads;
   return ReadHead{};
 }
 
@@ -167,59 +174,62 @@
                             const Result<StoredHead>& stored,
                             const KnownChanges& known) {
   if (stored.has_error()) {
-    return ReadAgainOrGiveUp(commit, stored.error());
+    return RetryReadOrFail(commit, stored.error());
   }
   auto parsed = ParseStoredHead(stored.value());
   if (parsed.has_error()) {
     return Finish(boost::outcome_v2::failure(parsed.error()));
   }
   const Head current = std::move(parsed).assume_value();
-  const bool is_behind = WorstLineage(current, known) > Lineage::kNewer;
-  // A swap whose reply was lost shows here; so does a repeated `apply`.
+  const bool is_store_behind =
+      FindWorstLineage(current, known) > Lineage::kNewer;
+  // Finds the change of a swap whose reply was lost, and that of a repeated
+  // `apply`.
   const AcceptedChange* accepted = FindChange(current, commit.change.id);
-  if (accepted != nullptr && !(is_behind && !commit.restored)) {
+  if (accepted != nullptr && !(is_store_behind && !commit.restored)) {
     return Finish(accepted->revision);
   }
   commit.head_version = stored.value().version;
-  commit.unwritten.clear();
+  commit.unwritten_shards.clear();
   if (commit.restored) {
     return ContinueRestore(commit, current, known);
   }
-  if (is_behind) {
-    return RefuseBehind(commit, current);
+  if (is_store_behind) {
+    return FailStoreBehind(commit, current);
   }
   if (current.revision != commit.change.base_revision) {
-    return RefuseConflict(commit, current);
+    return FailConflict(commit, current);
   }
   PrepareChange(commit, current);
   return WriteNextOrSwap(commit);
 }
 
-CommitEffect HandleMovedDuringRead(Commit& commit) {
-  return ReadAgainOrGiveUp(
-      commit, Error{ErrorCode::kConflict, commit.change.id,
-                    "the catalogue moved while its head was read"});
+CommitEffect HandleChangeDuringRead(Commit& commit) {
+  return RetryReadOrFail(commit,
+                         Error{ErrorCode::kConflict, commit.change.id,
+                               "the catalogue moved while its head was read"});
 }
 
 CommitEffect HandleShardWritten(Commit& commit, const Result<void>& written) {
   if (written.has_error()) {
-    // Shards are immutable and unnamed until the swap: writing again is safe.
-    return ReadAgainOrGiveUp(commit, written.error());
+    // Shards are immutable and unreferenced until the swap, so a repeated write
+    // is safe.
+    return RetryReadOrFail(commit, written.error());
   }
   return WriteNextOrSwap(commit);
 }
 
 CommitEffect HandleHeadSwapped(Commit& commit, const Result<bool>& swapped) {
   if (swapped.has_error()) {
-    commit.is_swap_in_doubt = true;
-    return ReadAgainOrGiveUp(commit, swapped.error());
+    commit.is_swap_outcome_unknown = true;
+    return RetryReadOrFail(commit, swapped.error());
   }
   if (swapped.value()) {
     return Finish(commit.next.head.revision);
   }
-  // Somebody else's change came first, or an earlier swap of this very change
-  // whose reply was lost: the head tells which.
-  return ReadAgainOrGiveUp(
+  // Another change was committed first, or an earlier swap of this change whose
+  // reply was lost: the head shows which.
+  return RetryReadOrFail(
       commit, Error{ErrorCode::kConflict, commit.change.id, "head has moved"});
 }
 
--- a/Libraries/LibCatalogue/Commit.h
+++ b/Libraries/LibCatalogue/Commit.h
@@ -1,5 +1,5 @@
-// The commit of a change set as a state machine: read the head, write the new
-// shards, swap the head. The swap of the head is the commit.
+// Commits a change set as a state machine: read the head, write the new shards,
+// replace the head by a compare-and-swap. The swap of the head is the commit.
 #pragma once
 
 #include <optional>
@@ -12,23 +12,25 @@
 
 namespace bramleyspan::catalogue {
 
-// A change set: the whole catalogue that is to follow `base_revision`.
+// A change set: the complete catalogue that replaces `base_revision`.
 struct ChangeSet {
   std::string id;
   uint64_t base_revision = 0;
   Catalogue catalogue;
 };
 
-// The head document as the key-value service holds it; version 0 and no text
-// if there is none yet.
+// The head document as stored in the key-value service; version 0 and empty
+// text if there is none.
 struct StoredHead {
   uint64_t version = 0;
   std::string text;
 };
 
-// Effects that the caller performs; each is answered by one event.
+// Effects that the caller performs. Each one is answered by one call of a
+// Handle function.
 struct ReadHead {
-  // Reads before this one; the caller waits longer before each retry.
+  // Number of reads before this one; the caller increases its retry delay with
+  // it.
   uint32_t attempt = 0;
 };
 struct WriteShard {
@@ -39,69 +41,72 @@
   uint64_t expected_version = 0;
   std::string text;
 };
-// The change is decided: the accepted revision, or kConflict, or kStoreBehind,
-// or kOutcomeUnknown, or kUnavailable when surely nothing was changed.
+// The commit ended. The outcome is the accepted revision, kConflict,
+// kStoreBehind, kOutcomeUnknown, or kUnavailable if certainly nothing was
+// changed.
 struct FinishCommit {
   Result<uint64_t> outcome;
 };
 using CommitEffect = std::variant<ReadHead, WriteShard, SwapHead, FinishCommit>;
 
-// What is in force here and on the peers, as far as it was known when a read
-// of the head was sent: the read must show all of it.
+// The newest changes in force in this process and its peers when a read of the
+// head was sent. The head that is read must contain all of them.
 using KnownChanges = std::vector<AcceptedChange>;
 
-// Which changes a restore may give up.
+// Which changes a restore may abandon.
 enum class RestoreScope {
-  // Those that only the key-value service holds; a change that another process
-  // has in force is a kConflict.
+  // Changes that only the key-value service holds. A change that is in force in
+  // another process is a kConflict.
   kStore,
-  // All that the restoring process lacks. Where a partition has left two
-  // branches in force and the service holds a third, a restore of the first
-  // scope is refused from every process, and nothing could be edited any more.
+  // All changes that the restoring process lacks. If a partition left two
+  // branches in force and the service holds a third, every process rejects a
+  // restore with kStore, and the catalogue could not be edited any more.
   kAllBranches,
 };
 
 struct Commit {
   ChangeSet change;
-  // What a restore writes back; none for a change set.
+  // The snapshot that a restore writes back; empty for a change set.
   std::optional<Snapshot> restored;
   RestoreScope scope = RestoreScope::kStore;
-  // The head and all of its shards once the swap is sent.
+  // The head that the swap writes, with all of its shards.
   Snapshot next;
   uint64_t head_version = 0;
-  std::vector<std::pair<std::string, std::string>> unwritten;
+  std::vector<std::pair<std::string, std::string>> unwritten_shards;
   uint32_t reads_left = 0;
-  // A swap was sent whose outcome was never learnt.
-  bool is_swap_in_doubt = false;
+  // A swap was sent and its outcome is unknown.
+  bool is_swap_outcome_unknown = false;
 };
 
-// Starts a commit; the first effect is always to read the head.
+// Starts a commit. The first effect is always ReadHead.
 CommitEffect StartCommit(Commit& commit, ChangeSet change);
 
-// Starts to commit the catalogue in force anew, for a key-value service that
-// has lost accepted changes. What the service accepted since is abandoned, and
-// by kAllBranches also what other processes have in force.
+// Starts to commit the catalogue in force again, to a key-value service that
+// has lost accepted changes. Changes that the service accepted since then are
+// abandoned; with kAllBranches also those in force in other processes.
 CommitEffect StartRestore(Commit& commit,
                           std::string change_id,
                           Snapshot in_force,
                           RestoreScope scope);
 
-// The head was read, or the read failed. `known` is from before the read.
+// Handles the head, or a failed read of it. `known` was collected before the
+// read was sent.
 CommitEffect HandleHeadRead(Commit& commit,
                             const Result<StoredHead>& stored,
                             const KnownChanges& known);
 
-// What is in force here or on the peers has changed while the head was read:
-// the answer may be from before or after that, so the head is read again. To
-// judge it by what was known before would let a commit through on a service
-// that came back older in between, and fork the catalogue.
-CommitEffect HandleMovedDuringRead(Commit& commit);
+// Reads the head again, because the changes in force in this process or its
+// peers have changed during the read and the answer may be from before or after
+// that. Checking it against the earlier `known` could accept a commit on a
+// service that was restored to an older state in between, and fork the
+// catalogue.
+CommitEffect HandleChangeDuringRead(Commit& commit);
 
-// A shard was written (or stood there already), or the write failed.
+// Handles a shard that was written or existed already, or a failed write.
 CommitEffect HandleShardWritten(Commit& commit, const Result<void>& written);
 
-// The swap was answered: true if it took place, false if the version differed.
-// A failure means that it may have taken place.
+// Handles the answer to the swap: true if it took place, false if the version
+// differed. After a failure it may have taken place.
 CommitEffect HandleHeadSwapped(Commit& commit, const Result<bool>& swapped);
 
 }  // namespace bramleyspan::catalogue
--- a/Libraries/LibCatalogue/Diff.cc
+++ b/Libraries/LibCatalogue/Diff.cc
@@ -11,14 +11,15 @@
 
 using nlohmann::json;
 
-// The sections of the JSON document and their names in the operators' file.
+// Section keys of the JSON document and their names in the operators' TOML
+// file.
 constexpr std::array<std::pair<const char*, const char*>, 3> kSections{{
     {"owners", "owner"},
     {"entries", "entry"},
     {"groups", "group"},
 }};
 
-// The declarations of a section by their names.
+// Returns the declarations of a section, keyed by name.
 json IndexByName(const json& section) {
   json index = json::object();
   for (const json& item : section) {
--- a/Libraries/LibCatalogue/Diff.h
+++ b/Libraries/LibCatalogue/Diff.h
@@ -1,4 +1,4 @@
-// What differs between two catalogues, for operators.
+// Differences between two catalogues, for operators.
 #pragma once
 
 #include <string>
@@ -10,8 +10,8 @@
 
 enum class DifferenceKind { kAdded, kRemoved, kChanged };
 
-// A declaration that differs. For kChanged `fields` names each field as
-// "deadline_ms: 2000 -> 3000".
+// A declaration that differs. For kChanged, `fields` lists each changed field
+// as "deadline_ms: 2000 -> 3000".
 struct Difference {
   DifferenceKind kind = DifferenceKind::kChanged;
   std::string section;
@@ -21,7 +21,7 @@
   bool operator==(const Difference&) const = default;
 };
 
-// What makes `after` out of `before`.
+// Returns the differences from `before` to `after`.
 std::vector<Difference> Compare(const Catalogue& before,
                                 const Catalogue& after);
 
--- a/Libraries/LibCatalogue/Follower.cc
+++ b/Libraries/LibCatalogue/Follower.cc
@@ -9,16 +9,16 @@
 
 namespace {
 
-void ForgetUnnamedShards(Snapshot& snapshot) {
-  ShardMap named;
+void RemoveUnreferencedShards(Snapshot& snapshot) {
+  ShardMap referenced;
   for (const auto& [slot, digest] : snapshot.head.shards) {
-    named.emplace(digest, std::move(snapshot.shards[digest]));
+    referenced.emplace(digest, std::move(snapshot.shards[digest]));
   }
-  snapshot.shards = std::move(named);
+  snapshot.shards = std::move(referenced);
 }
 
-// Brings the pending head in force if all of its shards are here.
-OfferEffects TryPending(Follower& follower) {
+// Puts the pending head in force if all of its shards are present.
+OfferEffects ApplyPendingIfComplete(Follower& follower) {
   auto missing = FindMissingShards(*follower.pending, follower.in_force.shards);
   if (!missing.empty()) {
     return {OfferOutcome::kNeedsShards, std::move(missing)};
@@ -30,7 +30,7 @@
   }
   follower.catalogue = std::move(joined).assume_value();
   follower.in_force.head = *std::exchange(follower.pending, std::nullopt);
-  ForgetUnnamedShards(follower.in_force);
+  RemoveUnreferencedShards(follower.in_force);
   return {OfferOutcome::kInForce, {}};
 }
 
@@ -42,13 +42,13 @@
     case Lineage::kSame:
       return {OfferOutcome::kKnown, {}};
     case Lineage::kOlder:
-      // A late or repeated head, or a key-value service that came back with an
-      // older state, must not undo an accepted change.
+      // A late or repeated head, or one from a key-value service that was
+      // restored to an older state, must not undo an accepted change.
       return {OfferOutcome::kOlder, {}};
     case Lineage::kDiverged:
-      // The service lost accepted changes and somebody committed on top of
-      // what was left. The number of such a head may be higher than ours, but
-      // to follow it would undo what was accepted.
+      // The service lost accepted changes and accepted another commit since
+      // then. This head may have a higher revision than ours, but following it
+      // would undo an accepted change.
       return {OfferOutcome::kDiverged, {}};
     case Lineage::kNewer:
       break;
@@ -57,7 +57,7 @@
     return {OfferOutcome::kKnown, {}};
   }
   follower.pending = head;
-  return TryPending(follower);
+  return ApplyPendingIfComplete(follower);
 }
 
 OfferEffects OfferShard(Follower& follower, const std::string& document) {
@@ -70,7 +70,7 @@
     return {OfferOutcome::kKnown, {}};
   }
   follower.in_force.shards.emplace(digest, document);
-  return TryPending(follower);
+  return ApplyPendingIfComplete(follower);
 }
 
 std::vector<std::string> FindPendingShards(const Follower& follower) {
--- a/Libraries/LibCatalogue/Json.cc
+++ b/Libraries/LibCatalogue/Json.cc
@@ -80,23 +80,23 @@
   return group;
 }
 
-template <typename Item>
-json ListToJson(const std::map<std::string, Item>& items) {
+template <typename Declaration>
+json ListToJson(const std::map<std::string, Declaration>& declarations) {
   json list = json::array();
-  for (const auto& [name, item] : items) {
-    list.push_back(ToJson(item));
+  for (const auto& [name, declaration] : declarations) {
+    list.push_back(ToJson(declaration));
   }
   return list;
 }
 
-template <typename Item, typename Parse>
+template <typename Declaration, typename Parse>
 Result<void> ListFromJson(const json& list,
                           Parse parse,
-                          std::map<std::string, Item>& items) {
+                          std::map<std::string, Declaration>& declarations) {
   for (const json& value : list) {
-    Item item = TRY(parse(value));
-    const std::string name = item.name;
-    items.emplace(name, std::move(item));
+    Declaration declaration = TRY(parse(value));
+    const std::string name = declaration.name;
+    declarations.emplace(name, std::move(declaration));
   }
   return Succeed();
 }
--- a/Libraries/LibCatalogue/Lineage.cc
+++ b/Libraries/LibCatalogue/Lineage.cc
@@ -13,7 +13,7 @@
   return found == head.changes.end() ? nullptr : &*found;
 }
 
-bool holds_change(const Head& head, const AcceptedChange& change) {
+bool has_change(const Head& head, const AcceptedChange& change) {
   if (change.revision == 0) {
     return true;
   }
@@ -35,12 +35,13 @@
     return Lineage::kSame;
   }
   if (head.revision > change.revision) {
-    return holds_change(head, change) || has_abandoned(head, change)
+    return has_change(head, change) || has_abandoned(head, change)
                ? Lineage::kNewer
                : Lineage::kDiverged;
   }
-  // Its own newest change says nothing of what the other holds: a lower number
-  // is taken as older, the same number with another change is a fork.
+  // The newest change of `head` does not show what the other head contains: a
+  // lower revision counts as older, the same revision with another change is a
+  // fork.
   return head.revision < change.revision ? Lineage::kOlder : Lineage::kDiverged;
 }
 
--- a/Libraries/LibCatalogue/Lineage.h
+++ b/Libraries/LibCatalogue/Lineage.h
@@ -1,5 +1,6 @@
-// Which head follows which. Revision numbers alone can not tell: a key-value
-// service that came back with an older state gives the same numbers out again.
+// Order of heads by the changes that they contain. Revision numbers are not
+// sufficient: a key-value service that was restored to an older state assigns
+// the same numbers again.
 #pragma once
 
 #include <optional>
@@ -8,32 +9,33 @@
 
 namespace bramleyspan::catalogue {
 
-// From good to bad: what comes after kNewer is no head to commit on.
+// Ordered from best to worst; no commit may be based on a head beyond kNewer.
 enum class Lineage {
   kSame,
-  // The head holds every change that the other one holds, and more.
+  // The head contains every change of the other one, and more.
   kNewer,
-  // The other head is newer, or the head is from before the other's history.
+  // The other head is newer, or this head predates the other one's history.
   kOlder,
-  // Each head holds a change that the other one lacks.
+  // Each head contains a change that the other one lacks.
   kDiverged,
 };
 
-// The change by which a head came about; revision 0 if it is the empty one.
+// Returns the change that created `head`; revision 0 for the empty head.
 AcceptedChange NewestChange(const Head& head);
 
-// The change with this id, if the head remembers it.
+// Returns the change with this id, or nullptr if the history of `head` lacks
+// it.
 const AcceptedChange* FindChange(const Head& head, const std::string& id);
 
-// Whether `head` was made on top of `change`. A change from before the history
-// that `head` remembers counts as held: a process that was away for so long
-// must be able to follow.
-bool holds_change(const Head& head, const AcceptedChange& change);
+// Whether `head` is based on `change`. A change older than the history of
+// `head` counts as contained, so that a process which was offline for that long
+// can follow again.
+bool has_change(const Head& head, const AcceptedChange& change);
 
-// Whether an operator gave `change` up for `head` by a restore.
+// Whether a restore by an operator abandoned `change` in `head`.
 bool has_abandoned(const Head& head, const AcceptedChange& change);
 
-// What a head is to a process that has `change` in force.
+// Returns the lineage of `head` for a process that has `change` in force.
 Lineage CompareLineage(const Head& head, const AcceptedChange& change);
 
 }  // namespace bramleyspan::catalogue
--- a/Libraries/LibCatalogue/Names.cc
+++ b/Libraries/LibCatalogue/Names.cc
@@ -8,74 +8,74 @@
 namespace {
 
 template <typename Value>
-struct Word {
+struct NamedValue {
   Value value;
-  std::string_view word;
+  std::string_view name;
 };
 
-constexpr std::array<Word<ServiceClass>, 3> kServiceClasses{{
+constexpr std::array<NamedValue<ServiceClass>, 3> kServiceClasses{{
     {ServiceClass::kInteractive, "interactive"},
     {ServiceClass::kStandard, "standard"},
     {ServiceClass::kBatch, "batch"},
 }};
 
-constexpr std::array<Word<BackEndKind>, 2> kBackEndKinds{{
+constexpr std::array<NamedValue<BackEndKind>, 2> kBackEndKinds{{
     {BackEndKind::kModel, "model"},
     {BackEndKind::kService, "service"},
 }};
 
-constexpr std::array<Word<Repetition>, 2> kRepetitions{{
+constexpr std::array<NamedValue<Repetition>, 2> kRepetitions{{
     {Repetition::kRepeatable, "repeatable"},
     {Repetition::kAtMostOnce, "at-most-once"},
 }};
 
 template <typename Table, typename Value>
-std::string_view FindWord(const Table& table, Value value) {
+std::string_view FindName(const Table& table, Value value) {
   for (const auto& row : table) {
     if (row.value == value) {
-      return row.word;
+      return row.name;
     }
   }
   return {};
 }
 
 template <typename Value, size_t kSize>
-Result<Value> FindValue(const std::array<Word<Value>, kSize>& table,
-                        const std::string& word) {
+Result<Value> FindValue(const std::array<NamedValue<Value>, kSize>& table,
+                        const std::string& name) {
   std::string allowed;
   for (const auto& row : table) {
-    if (row.word == word) {
+    if (row.name == name) {
       return row.value;
     }
-    allowed += (allowed.empty() ? "" : ", ") + std::string(row.word);
+    allowed += (allowed.empty() ? "" : ", ") + std::string(row.name);
   }
-  return Fail(ErrorCode::kMalformedDocument, word, "allowed are: " + allowed);
+  return Fail(ErrorCode::kMalformedDocument, name, "allowed are: " + allowed);
 }
 
 }  // namespace
 
 std::string_view NameOf(ServiceClass service_class) {
-  return FindWord(kServiceClasses, service_class);
+  return FindName(kServiceClasses, service_class);
 }
 
 std::string_view NameOf(BackEndKind kind) {
-  return FindWord(kBackEndKinds, kind);
+  return FindName(kBackEndKinds, kind);
 }
 
 std::string_view NameOf(Repetition repetition) {
-  return FindWord(kRepetitions, repetition);
+  return FindName(kRepetitions, repetition);
 }
 
-Result<ServiceClass> ParseServiceClass(const std::string& word) {
-  return FindValue(kServiceClasses, word);
+Result<ServiceClass> ParseServiceClass(const std::string& name) {
+  return FindValue(kServiceClasses, name);
 }
 
-Result<BackEndKind> ParseBackEndKind(const std::string& word) {
-  return FindValue(kBackEndKinds, word);
+Result<BackEndKind> ParseBackEndKind(const std::string& name) {
+  return FindValue(kBackEndKinds, name);
 }
 
-Result<Repetition> ParseRepetition(const std::string& word) {
-  return FindValue(kRepetitions, word);
+Result<Repetition> ParseRepetition(const std::string& name) {
+  return FindValue(kRepetitions, name);
 }
 
 }  // namespace bramleyspan::catalogue
--- a/Libraries/LibCatalogue/Names.h
+++ b/Libraries/LibCatalogue/Names.h
@@ -1,4 +1,4 @@
-// The words by which documents name the enumerations of the catalogue.
+// Names of the catalogue's enumerations in documents.
 #pragma once
 
 #include <string>
@@ -13,9 +13,9 @@
 std::string_view NameOf(BackEndKind kind);
 std::string_view NameOf(Repetition repetition);
 
-// Each fails with kMalformedDocument that lists the words allowed.
-Result<ServiceClass> ParseServiceClass(const std::string& word);
-Result<BackEndKind> ParseBackEndKind(const std::string& word);
-Result<Repetition> ParseRepetition(const std::string& word);
+// Each fails with kMalformedDocument; the text lists the allowed names.
+Result<ServiceClass> ParseServiceClass(const std::string& name);
+Result<BackEndKind> ParseBackEndKind(const std::string& name);
+Result<Repetition> ParseRepetition(const std::string& name);
 
 }  // namespace bramleyspan::catalogue
--- a/Libraries/LibCatalogue/ParseToml.cc
+++ b/Libraries/LibCatalogue/ParseToml.cc
@@ -10,17 +10,17 @@
 
 namespace {
 
-constexpr int64_t kLargestLimit = 1'000'000'000;
-constexpr int64_t kLongestDeadlineMilliseconds = 600'000;
+constexpr int64_t kMaxLimit = 1'000'000'000;
+constexpr int64_t kMaxDeadlineMilliseconds = 600'000;
 
-auto FailAt(const toml::value& place, const std::string& detail) {
+auto FailAt(const toml::value& node, const std::string& detail) {
   return Fail(ErrorCode::kMalformedDocument,
-              place.location().file_name() + ":" +
-                  std::to_string(place.location().line()),
+              node.location().file_name() + ":" +
+                  std::to_string(node.location().line()),
               detail);
 }
 
-Result<void> RefuseUnknownFields(
+Result<void> RejectUnknownFields(
     const toml::value& table,
     std::initializer_list<std::string_view> known) {
   for (const auto& [key, value] : table.as_table()) {
@@ -45,23 +45,23 @@
 Result<int64_t> FindInteger(const toml::value& table,
                             const char* key,
                             int64_t fallback,
-                            int64_t largest) {
+                            int64_t max_value) {
   if (!table.contains(key)) {
     return fallback;
   }
   const toml::value& value = table.at(key);
   if (!value.is_integer() || value.as_integer() < 0 ||
-      value.as_integer() > largest) {
+      value.as_integer() > max_value) {
     return FailAt(value, std::string("field '") + key +
                              "' is no whole number from 0 to " +
-                             std::to_string(largest));
+                             std::to_string(max_value));
   }
   return value.as_integer();
 }
 
-Result<double> FindShare(const toml::value& table,
-                         const char* key,
-                         double fallback) {
+Result<double> FindFraction(const toml::value& table,
+                            const char* key,
+                            double fallback) {
   if (!table.contains(key)) {
     return fallback;
   }
@@ -74,14 +74,15 @@
   return value.as_floating();
 }
 
-// Parses an enumeration's word and puts the place into its failure.
+// Parses the name of an enumeration value; a failure contains its file and
+// line.
 template <typename Parse>
-auto ParseWord(const toml::value& table, const char* key, Parse parse)
+auto ParseEnum(const toml::value& table, const char* key, Parse parse)
     -> decltype(parse(std::string())) {
-  const std::string word = TRY(RequireText(table, key));
-  auto parsed = parse(word);
+  const std::string name = TRY(RequireText(table, key));
+  auto parsed = parse(name);
   if (parsed.has_error()) {
-    return FailAt(table.at(key), "'" + word + "': " + parsed.error().detail);
+    return FailAt(table.at(key), "'" + name + "': " + parsed.error().detail);
   }
   return parsed;
 }
@@ -95,19 +96,19 @@
   if (!section.is_table()) {
     return FailAt(section, "field 'limits' is no table");
   }
-  TRY(RefuseUnknownFields(
+  TRY(RejectUnknownFields(
       section, {"requests_per_second", "tokens_per_second", "concurrent"}));
   limits.requests_per_second = static_cast<uint32_t>(
-      TRY(FindInteger(section, "requests_per_second", 0, kLargestLimit)));
+      TRY(FindInteger(section, "requests_per_second", 0, kMaxLimit)));
   limits.tokens_per_second = static_cast<uint32_t>(
-      TRY(FindInteger(section, "tokens_per_second", 0, kLargestLimit)));
+      TRY(FindInteger(section, "tokens_per_second", 0, kMaxLimit)));
   limits.concurrent = static_cast<uint32_t>(
-      TRY(FindInteger(section, "concurrent", 0, kLargestLimit)));
+      TRY(FindInteger(section, "concurrent", 0, kMaxLimit)));
   return limits;
 }
 
 Result<Owner> ParseOwner(const toml::value& table) {
-  TRY(RefuseUnknownFields(table, {"name", "key_sha256", "limits"}));
+  TRY(RejectUnknownFields(table, {"name", "key_sha256", "limits"}));
   Owner owner;
   owner.name = TRY(RequireText(table, "name"));
   owner.key_sha256 = TRY(RequireText(table, "key_sha256"));
@@ -116,12 +117,12 @@
 }
 
 Result<Entry> ParseEntry(const toml::value& table) {
-  TRY(RefuseUnknownFields(table, {"name", "owner", "class", "model", "service",
+  TRY(RejectUnknownFields(table, {"name", "owner", "class", "model", "service",
                                   "repetition", "deadline_ms", "limits"}));
   Entry entry;
   entry.name = TRY(RequireText(table, "name"));
   entry.owner = TRY(RequireText(table, "owner"));
-  entry.service_class = TRY(ParseWord(table, "class", ParseServiceClass));
+  entry.service_class = TRY(ParseEnum(table, "class", ParseServiceClass));
   if (table.contains("model") == table.contains("service")) {
     return FailAt(table, "an entry names either a 'model' or a 'service'");
   }
@@ -129,17 +130,16 @@
   entry.kind = is_model ? BackEndKind::kModel : BackEndKind::kService;
   entry.back_end = TRY(RequireText(table, is_model ? "model" : "service"));
   if (table.contains("repetition")) {
-    entry.repetition = TRY(ParseWord(table, "repetition", ParseRepetition));
+    entry.repetition = TRY(ParseEnum(table, "repetition", ParseRepetition));
   }
-  entry.deadline = std::chrono::milliseconds(
-      TRY(FindInteger(table, "deadline_ms", entry.deadline.count(),
-                      kLongestDeadlineMilliseconds)));
+  entry.deadline = std::chrono::milliseconds(TRY(FindInteger(
+      table, "deadline_ms", entry.deadline.count(), kMaxDeadlineMilliseconds)));
   entry.limits = TRY(ParseLimits(table));
   return entry;
 }
 
 Result<Group> ParseGroup(const toml::value& table) {
-  TRY(RefuseUnknownFields(table, {"name", "model", "service", "targets",
+  TRY(RejectUnknownFields(table, {"name", "model", "service", "targets",
                                   "experts", "slots_per_rank", "skew_weight"}));
   Group group;
   group.name = TRY(RequireText(table, "name"));
@@ -158,20 +158,21 @@
     }
     group.targets.push_back(target.as_string().str);
   }
-  group.experts = static_cast<uint32_t>(
-      TRY(FindInteger(table, "experts", 0, kLargestLimit)));
+  group.experts =
+      static_cast<uint32_t>(TRY(FindInteger(table, "experts", 0, kMaxLimit)));
   group.slots_per_rank = static_cast<uint32_t>(
-      TRY(FindInteger(table, "slots_per_rank", 0, kLargestLimit)));
-  group.skew_weight = TRY(FindShare(table, "skew_weight", group.skew_weight));
+      TRY(FindInteger(table, "slots_per_rank", 0, kMaxLimit)));
+  group.skew_weight =
+      TRY(FindFraction(table, "skew_weight", group.skew_weight));
   return group;
 }
 
-// Parses each table of the list `key` and files it under its name.
-template <typename Item, typename Parse>
+// Parses each table of the list `key` into `items`, keyed by name.
+template <typename Declaration, typename Parse>
 Result<void> ParseList(const toml::value& document,
                        const char* key,
                        Parse parse,
-                       std::map<std::string, Item>& items) {
+                       std::map<std::string, Declaration>& declarations) {
   if (!document.contains(key)) {
     return Succeed();
   }
@@ -183,9 +184,9 @@
     if (!table.is_table()) {
       return FailAt(table, std::string("'") + key + "' is no table");
     }
-    Item item = TRY(parse(table));
-    const std::string name = item.name;
-    if (!items.emplace(name, std::move(item)).second) {
+    Declaration declaration = TRY(parse(table));
+    const std::string name = declaration.name;
+    if (!declarations.emplace(name, std::move(declaration)).second) {
       return FailAt(table, "'" + name + "' is declared twice");
     }
   }
@@ -203,7 +204,7 @@
   } catch (const std::exception& failure) {
     return Fail(ErrorCode::kMalformedDocument, file_name, failure.what());
   }
-  TRY(RefuseUnknownFields(document, {"owner", "entry", "group"}));
+  TRY(RejectUnknownFields(document, {"owner", "entry", "group"}));
   Catalogue catalogue;
   TRY(ParseList(document, "owner", ParseOwner, catalogue.owners));
   TRY(ParseList(document, "entry", ParseEntry, catalogue.entries));
--- a/Libraries/LibCatalogue/Readiness.h
+++ b/Libraries/LibCatalogue/Readiness.h
@@ -1,5 +1,6 @@
-// When a starting process may serve: once it has in force whatever the
-// key-value service or a reachable peer held when it started.
+// Decides when a starting process may serve: once it has in force the highest
+// revision that the key-value service or a reachable peer reported at its
+// start.
 #pragma once
 
 #include <cstdint>
@@ -10,39 +11,40 @@
 
 namespace bramleyspan::catalogue {
 
-// How long a starting process waits for listed peers that say nothing, such as
-// a VM that has died and is listed still.
+// How long a starting process waits for listed peers that do not respond, such
+// as a failed VM that is still on the list.
 inline constexpr Duration kPeerWait = std::chrono::seconds(2);
 
 struct Readiness {
   TimePoint started;
   bool is_ready = false;
-  bool is_store_heard = false;
-  bool is_list_heard = false;
-  std::set<std::string> silent_peers;
-  std::set<std::string> heard_peers;
-  // The highest revision that anybody named.
-  uint64_t highest_told = 0;
+  bool has_store_answered = false;
+  bool has_vm_list = false;
+  std::set<std::string> awaited_peers;
+  std::set<std::string> reported_peers;
+  // The highest revision that the service or a peer reported.
+  uint64_t highest_reported = 0;
 };
 
-// The key-value service answered with a head of this revision.
+// Handles an answer of the key-value service with a head of this revision.
 void HandleStoreAnswer(Readiness& readiness, uint64_t revision);
 
-// The VM list names a peer.
+// Adds a peer from the VM list, whose revision is awaited.
 void HandleListedPeer(Readiness& readiness, const std::string& peer);
 
-// The VM list was read, with every peer in it handled.
+// Handles the end of a VM list of which every peer was handled.
 void HandleListRead(Readiness& readiness);
 
-// A peer told what it has in force.
+// Handles a peer's report of the revision that it has in force.
 void HandlePeerRevision(Readiness& readiness,
                         const std::string& peer,
                         uint64_t revision);
 
-// A peer can not be reached.
+// Stops waiting for a peer that cannot be reached.
 void HandleLostPeer(Readiness& readiness, const std::string& peer);
 
-// Whether the process may serve with `in_force`; once true it stays true.
+// Returns whether the process may serve with revision `in_force`. Once true it
+// stays true.
 bool UpdateReadiness(Readiness& readiness, uint64_t in_force, TimePoint now);
 
 }  // namespace bramleyspan::catalogue
--- a/Libraries/LibCatalogue/Shards.cc
+++ b/Libraries/LibCatalogue/Shards.cc
@@ -13,7 +13,8 @@
 
 constexpr size_t kOwnerShards = 32;
 
-// Owners and their entries share a shard, so that most changes touch one.
+// An owner and its entries share a shard, so that most changes affect one
+// shard.
 std::string SlotOfOwner(const std::string& owner) {
   const std::string digest = Sha256Hex(owner);
   const size_t slot = std::stoul(digest.substr(0, 4), nullptr, 16);
@@ -38,9 +39,9 @@
 
 }  // namespace
 
-Snapshot CutIntoShards(const Catalogue& catalogue,
-                       const Head& previous,
-                       const std::string& change_id) {
+Snapshot SplitIntoShards(const Catalogue& catalogue,
+                         const Head& previous,
+                         const std::string& change_id) {
   std::map<std::string, Catalogue> parts;
   for (const auto& [name, owner] : catalogue.owners) {
     parts[SlotOfOwner(name)].owners.emplace(name, owner);
@@ -54,7 +55,7 @@
   snapshot.head.changes = previous.changes;
   snapshot.head.abandoned = previous.abandoned;
   snapshot.head.changes.push_back({change_id, snapshot.head.revision});
-  if (snapshot.head.changes.size() > kRememberedChanges) {
+  if (snapshot.head.changes.size() > kHistoryLength) {
     snapshot.head.changes.erase(snapshot.head.changes.begin());
   }
   for (const auto& [slot, part] : parts) {
--- a/Libraries/LibCatalogue/Shards.h
+++ b/Libraries/LibCatalogue/Shards.h
@@ -1,4 +1,4 @@
-// A catalogue cut into immutable shards, and the head that names them.
+// A catalogue split into immutable shards, and the head that references them.
 #pragma once
 
 #include <cstdint>
@@ -12,8 +12,8 @@
 
 namespace bramleyspan::catalogue {
 
-// A change that the head remembers, so that an operator whose reply was lost
-// can learn that it was accepted.
+// An accepted change in the history of a head. An operator whose reply was lost
+// finds there that the change was accepted.
 struct AcceptedChange {
   std::string id;
   uint64_t revision = 0;
@@ -21,45 +21,45 @@
   bool operator==(const AcceptedChange&) const = default;
 };
 
-// The one mutable document. Swapping it is the commit of a change: a reader
-// that holds a head and the shards it names holds one whole catalogue.
+// The only mutable document; swapping it commits a change. A head together with
+// the shards that it references is one complete catalogue.
 struct Head {
   uint64_t revision = 0;
-  // Digests of the shards by their slot.
+  // Digests of the shards, by slot.
   std::map<std::string, std::string> shards;
   // The newest changes, oldest first.
   std::vector<AcceptedChange> changes;
-  // Changes that an operator gave up by a restore: they were accepted by a
-  // key-value service that had lost others.
+  // Changes that an operator abandoned by a restore: a key-value service
+  // accepted them after it had lost others.
   std::vector<AcceptedChange> abandoned;
 
   bool operator==(const Head&) const = default;
 };
 
-// Shard documents by the digest of their text.
+// Shard documents by the SHA-256 digest of their text.
 using ShardMap = std::map<std::string, std::string>;
 
-// A head together with every shard that it names.
+// A head with every shard that it references.
 struct Snapshot {
   Head head;
   ShardMap shards;
 };
 
-// How many changes a head remembers. Today's users and the size ahead make 310
-// changes a day: a process can be away for five hours and still tell that a
-// head follows its own.
-inline constexpr size_t kRememberedChanges = 64;
+// Number of changes in the history of a head. At 310 changes a day, the load of
+// today's users and the planned growth, a process can be offline for five hours
+// and still determine that a head follows its own.
+inline constexpr size_t kHistoryLength = 64;
 
-// Cuts a catalogue into shards and names them in the next head.
-Snapshot CutIntoShards(const Catalogue& catalogue,
-                       const Head& previous,
-                       const std::string& change_id);
+// Splits a catalogue into shards and returns them with the next head.
+Snapshot SplitIntoShards(const Catalogue& catalogue,
+                         const Head& previous,
+                         const std::string& change_id);
 
-// Joins the shards that a head names. Fails with kNotFound if one is missing,
-// with kMalformedDocument if one does not parse.
+// Joins the shards that a head references. Fails with kNotFound if one is
+// missing, with kMalformedDocument if one does not parse.
 Result<Catalogue> JoinShards(const Head& head, const ShardMap& shards);
 
-// The digests that `head` names and `shards` lacks.
+// Returns the digests that `head` references and `shards` lacks.
 std::vector<std::string> FindMissingShards(const Head& head,
                                            const ShardMap& shards);
 
--- a/Libraries/LibCatalogue/Watchers.cc
+++ b/Libraries/LibCatalogue/Watchers.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-uint64_t RankOf(const std::string& entry) {
+uint64_t HashName(const std::string& entry) {
   return XXH3_64bits(entry.data(), entry.size());
 }
 
@@ -16,11 +16,11 @@
 
 bool is_watcher(const std::string& self,
                 const std::vector<std::string>& others_in_zone) {
-  const uint64_t own_rank = RankOf(self);
-  const auto before_us = std::ranges::count_if(
+  const uint64_t own_hash = HashName(self);
+  const auto lower_hashes = std::ranges::count_if(
       others_in_zone,
-      [&](const std::string& other) { return RankOf(other) < own_rank; });
-  return static_cast<size_t>(before_us) < kWatchersPerZone;
+      [&](const std::string& other) { return HashName(other) < own_hash; });
+  return static_cast<size_t>(lower_hashes) < kWatchersPerZone;
 }
 
 }  // namespace bramleyspan::catalogue
--- a/Services/bramleyspand/Entry/CatalogueChanges.cc
+++ b/Services/bramleyspand/Entry/CatalogueChanges.cc
@@ -70,7 +70,7 @@
   void HandleRead(const Result<platform::ReadAnswer>& answer,
                   const catalogue::KnownChanges& known) {
     if (KnownChangesOf(this->state) != known) {
-      this->Perform(catalogue::HandleMovedDuringRead(this->commit));
+      this->Perform(catalogue::HandleChangeDuringRead(this->commit));
       return;
     }
     if (answer.has_error()) {
@@ -191,7 +191,7 @@
   const bool has_others = state.vms.size() > 1;
   const bool has_heard = std::ranges::any_of(
       state.links, [](const auto& item) { return item.second.is_heard; });
-  return !state.readiness.is_list_heard || (has_others && !has_heard);
+  return !state.readiness.has_vm_list || (has_others && !has_heard);
 }
 
 // Refuses what this process may not commit now. True if it has answered.
--- a/Tests/LibCatalogue/TestCommit.cc
+++ b/Tests/LibCatalogue/TestCommit.cc
@@ -20,7 +20,7 @@
   return head;
 }
 
-// The error code with which a change set from `base` ends on this head.
+// Returns the error code of a change set from `base` on this head.
 ErrorCode CodeOfCommit(const Head& stored,
                        uint64_t base,
                        const KnownChanges& known) {
@@ -33,9 +33,9 @@
 
 }  // namespace
 
-// An operator is told "failed" for a change that is in force: the swap of the
-// head took effect, its reply was lost, and nobody read back.
-TEST_CASE("a swap whose reply was lost is found again by the change id") {
+// An operator got "failed" for a change that is in force: the swap of the head
+// took effect, its reply was lost, and the head was not read again.
+TEST_CASE("a swap whose reply was lost is found by its change id") {
   Commit commit;
   StartCommit(commit, {.id = "c1", .base_revision = 0, .catalogue = {}});
   const CommitEffect effect =
@@ -49,9 +49,10 @@
   CHECK(std::get<FinishCommit>(end).outcome.value() == 1);
 }
 
-// As above, but the key-value service goes down right after: an operator who is
-// told "nothing was changed" applies another file and undoes the first.
-TEST_CASE("a swap in doubt that no read decides ends as unknown") {
+// As above, but the key-value service fails right after the swap. If the
+// operator got "nothing was changed", the next file would undo the first
+// change.
+TEST_CASE("a swap without reply or readable head ends as unknown") {
   Commit commit;
   StartCommit(commit, {.id = "c1", .base_revision = 0, .catalogue = {}});
   WriteAllShards(commit, HandleHeadRead(commit, StoredHead{}, {}));
@@ -65,9 +66,9 @@
         ErrorCode::kOutcomeUnknown);
 }
 
-// Two operators edit at one moment; the second one's file was made before the
-// first one's change and would silently undo it.
-TEST_CASE("a change from an older base is refused as a conflict") {
+// Two operators edit at the same time. The second file is based on the
+// catalogue before the first change and would silently undo it.
+TEST_CASE("a change from an older base fails as a conflict") {
   const Head current = HeadAfter({{"c4", 4}});
   Commit commit;
   StartCommit(commit, {.id = "c9", .base_revision = 3, .catalogue = {}});
@@ -78,36 +79,36 @@
   CHECK(outcome.error().code == ErrorCode::kConflict);
 }
 
-// The key-value service came back from a backup with revision 5 while 7 is in
-// force. A change committed on top would be accepted as revision 6, take force
-// nowhere, and vanish.
-TEST_CASE("a change is refused while the store lacks what is in force") {
+// The key-value service was restored from a backup with revision 5 while 7 is
+// in force. A change on top of it would be accepted as revision 6 and never
+// take force.
+TEST_CASE("a change is refused while the store lacks a change in force") {
   const Head stored = HeadAfter({{"c4", 4}, {"c5", 5}});
   CHECK(CodeOfCommit(stored, 5, {{"c7", 7}}) == ErrorCode::kStoreBehind);
 }
 
-// As above, but another process committed meanwhile: the numbers in the store
-// are higher than those in force, yet an accepted change is not among them.
+// As above, but another process has committed since then: the stored revision
+// is higher than those in force, yet an accepted change is missing.
 TEST_CASE("a change is refused while the store has diverged") {
   const Head stored = HeadAfter({{"c5", 5}, {"d6", 6}, {"d7", 7}, {"d8", 8}});
   CHECK(CodeOfCommit(stored, 8, {{"c5", 5}, {"c7", 7}}) ==
         ErrorCode::kStoreBehind);
 }
 
-// An operator asks a day later what became of a change whose reply was lost.
-// It was accepted, but the head has forgotten it: "conflict" would be a lie.
+// An operator queries a change a day after its reply was lost. It was accepted,
+// but the history no longer contains it, so kConflict would be wrong.
 TEST_CASE("a change older than the history ends as unknown") {
   const Head stored = HeadAfter({{"c80", 80}, {"c81", 81}});
   CHECK(CodeOfCommit(stored, 3, {}) == ErrorCode::kOutcomeUnknown);
   CHECK(CodeOfCommit(stored, 79, {}) == ErrorCode::kConflict);
 }
 
-// The operators' way out after both failures above: the catalogue in force is
-// committed anew, and whatever the store took since is named as given up, so
-// that processes which followed it come back.
-TEST_CASE("a restore names the changes that it gives up") {
+// Recovery from the two failures above: a restore commits the catalogue in
+// force again and lists the changes that the store accepted since then as
+// abandoned, so that processes which have them in force can follow.
+TEST_CASE("a restore lists the changes that it abandons") {
   Snapshot in_force =
-      CutIntoShards({}, HeadAfter({{"c5", 5}, {"c6", 6}}), "c7");
+      SplitIntoShards({}, HeadAfter({{"c5", 5}, {"c6", 6}}), "c7");
   const Head stored = HeadAfter({{"c5", 5}, {"d6", 6}, {"d7", 7}, {"d8", 8}});
   Commit commit;
   StartRestore(commit, "r", in_force, RestoreScope::kStore);
@@ -125,14 +126,14 @@
   CHECK(CompareLineage(next, {"d7", 7}) == Lineage::kNewer);
 }
 
-// Two halves of the entries were parted while the key-value service came back
-// older: two branches are in force and the service holds a third. A restore of
-// any branch is refused for the sake of the others, and operators can edit
-// nothing any more. Found by Meta/explore with seed 2791715484.
-TEST_CASE("a restore can give up the branches of other processes") {
-  const Snapshot common = CutIntoShards({}, {}, "c1");
-  const Snapshot ours = CutIntoShards({}, common.head, "a2");
-  const Snapshot stored = CutIntoShards({}, common.head, "s2");
+// Two halves of the entries were partitioned while the key-value service was
+// restored to an older state: two branches are in force and the service holds a
+// third. A restore of either branch was rejected because of the other, and the
+// catalogue could not be edited. Found by Meta/explore with seed 2791715484.
+TEST_CASE("a restore can abandon the branches of other processes") {
+  const Snapshot common = SplitIntoShards({}, {}, "c1");
+  const Snapshot ours = SplitIntoShards({}, common.head, "a2");
+  const Snapshot stored = SplitIntoShards({}, common.head, "s2");
   const AcceptedChange theirs{"b2", 2};
   const StoredHead text{.version = 3, .text = SerializeHead(stored.head)};
   const KnownChanges known{NewestChange(ours.head), theirs};
@@ -151,8 +152,8 @@
   }
 }
 
-TEST_CASE("a restore is refused where nothing is lost") {
-  const Snapshot in_force = CutIntoShards({}, {}, "c1");
+TEST_CASE("a restore is refused if the store lacks no change") {
+  const Snapshot in_force = SplitIntoShards({}, {}, "c1");
   Commit commit;
   StartRestore(commit, "r", in_force, RestoreScope::kStore);
   const std::string text = SerializeHead(in_force.head);
--- a/Tests/LibCatalogue/TestDiff.cc
+++ b/Tests/LibCatalogue/TestDiff.cc
@@ -4,7 +4,7 @@
 
 namespace bramleyspan::catalogue {
 
-TEST_CASE("a difference names each declaration and field") {
+TEST_CASE("a comparison lists each changed declaration and field") {
   Catalogue before;
   before.owners.emplace("huber", Owner{.name = "huber"});
   before.entries.emplace("draft", Entry{.name = "draft", .owner = "huber"});
--- a/Tests/LibCatalogue/TestFollower.cc
+++ b/Tests/LibCatalogue/TestFollower.cc
@@ -23,12 +23,12 @@
 
 }  // namespace
 
-// An operator sees an accepted edit undone: the key-value service came back
-// from an outage with an older state, and a process that follows whatever it
-// reads went back to the older revision.
+// The key-value service was restored to an older state after an outage. A
+// process that follows every head that it reads would return to the older
+// revision and undo an accepted edit.
 TEST_CASE("a head older than the one in force is not followed") {
-  const Snapshot first = CutIntoShards(WithOwner("huber"), {}, "c1");
-  const Snapshot second = CutIntoShards(WithOwner("maier"), first.head, "c2");
+  const Snapshot first = SplitIntoShards(WithOwner("huber"), {}, "c1");
+  const Snapshot second = SplitIntoShards(WithOwner("maier"), first.head, "c2");
   Follower follower;
   Follow(follower, first);
   Follow(follower, second);
@@ -39,8 +39,8 @@
   CHECK(follower.catalogue.owners.contains("maier"));
 }
 
-TEST_CASE("a head takes force only when all of its shards are here") {
-  const Snapshot snapshot = CutIntoShards(WithOwner("huber"), {}, "c1");
+TEST_CASE("a head takes force only when all of its shards are present") {
+  const Snapshot snapshot = SplitIntoShards(WithOwner("huber"), {}, "c1");
   Follower follower;
   const OfferEffects effects = OfferHead(follower, snapshot.head);
   CHECK(effects.outcome == OfferOutcome::kNeedsShards);
@@ -52,14 +52,15 @@
   CHECK(follower.in_force.head.revision == 1);
 }
 
-// A zone is cut off while the key-value service comes back with revision 1 and
-// an entry there commits two more. When the links heal, the fork has the higher
-// number; a process that goes by numbers undoes the accepted change 2.
-TEST_CASE("a higher head that lacks the change in force is not followed") {
-  const Snapshot first = CutIntoShards(WithOwner("huber"), {}, "c1");
-  const Snapshot second = CutIntoShards(WithOwner("maier"), first.head, "c2");
-  const Snapshot fork = CutIntoShards(WithOwner("gruber"), first.head, "d2");
-  const Snapshot higher = CutIntoShards(WithOwner("gruber"), fork.head, "d3");
+// A zone is partitioned while the key-value service is restored to revision 1,
+// and an entry there commits two changes. After the partition the fork has the
+// higher revision; following it by revision alone would undo the accepted
+// change 2.
+TEST_CASE("a newer revision that lacks the change in force is ignored") {
+  const Snapshot first = SplitIntoShards(WithOwner("huber"), {}, "c1");
+  const Snapshot second = SplitIntoShards(WithOwner("maier"), first.head, "c2");
+  const Snapshot fork = SplitIntoShards(WithOwner("gruber"), first.head, "d2");
+  const Snapshot higher = SplitIntoShards(WithOwner("gruber"), fork.head, "d3");
   Follower follower;
   Follow(follower, second);
   CHECK(OfferHead(follower, fork.head).outcome == OfferOutcome::kDiverged);
@@ -68,22 +69,22 @@
   CHECK(follower.catalogue.owners.contains("maier"));
 }
 
-// A process was away for longer than the history reaches. It must follow
-// again, or it would obey its old catalogue until somebody restarts it.
-TEST_CASE("a head whose history is too short to tell is followed") {
-  Snapshot snapshot = CutIntoShards(WithOwner("huber"), {}, "c1");
+// A process was offline for longer than the history covers. It must follow
+// again, or it would apply its old catalogue until a restart.
+TEST_CASE("a head whose history is too short to compare is followed") {
+  Snapshot snapshot = SplitIntoShards(WithOwner("huber"), {}, "c1");
   Follower follower;
   Follow(follower, snapshot);
-  for (size_t i = 2; i < 2 * kRememberedChanges; ++i) {
-    snapshot = CutIntoShards(WithOwner("maier"), snapshot.head,
-                             "c" + std::to_string(i));
+  for (size_t i = 2; i < 2 * kHistoryLength; ++i) {
+    snapshot = SplitIntoShards(WithOwner("maier"), snapshot.head,
+                               "c" + std::to_string(i));
   }
   Follow(follower, snapshot);
   CHECK(follower.catalogue.owners.contains("maier"));
 }
 
-TEST_CASE("the shards of a pending head can be asked for again") {
-  const Snapshot snapshot = CutIntoShards(WithOwner("huber"), {}, "c1");
+TEST_CASE("the missing shards of a pending head are listed") {
+  const Snapshot snapshot = SplitIntoShards(WithOwner("huber"), {}, "c1");
   Follower follower;
   CHECK(FindPendingShards(follower).empty());
   OfferHead(follower, snapshot.head);
--- a/Tests/LibCatalogue/TestParseToml.cc
+++ b/Tests/LibCatalogue/TestParseToml.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-const std::string kGood = R"([[owner]]
+const std::string kValidFile = R"([[owner]]
 name = "huber"
 key_sha256 = "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"
 limits = { concurrent = 8 }
@@ -25,8 +25,8 @@
 
 }  // namespace
 
-TEST_CASE("a good file survives the way through JSON") {
-  const auto parsed = ParseToml(kGood, "good.toml");
+TEST_CASE("a valid file is unchanged after a JSON round trip") {
+  const auto parsed = ParseToml(kValidFile, "good.toml");
   REQUIRE(parsed.has_value());
   CHECK(parsed.value().owners.at("huber").limits.concurrent == 8);
   const auto again = ParseJson(SerializeJson(parsed.value()));
@@ -34,8 +34,8 @@
   CHECK(again.value() == parsed.value());
 }
 
-TEST_CASE("an unknown field is refused with file and line") {
-  const auto parsed = ParseToml(kGood + "colour = 1\n", "bad.toml");
+TEST_CASE("an unknown field fails with file and line") {
+  const auto parsed = ParseToml(kValidFile + "colour = 1\n", "bad.toml");
   REQUIRE(parsed.has_error());
   CHECK(parsed.error().code == ErrorCode::kMalformedDocument);
   CHECK(parsed.error().subject == "bad.toml:16");
--- a/Tests/LibCatalogue/TestReadiness.cc
+++ b/Tests/LibCatalogue/TestReadiness.cc
@@ -19,9 +19,9 @@
 
 }  // namespace
 
-// An entry starts just after the key-value service came back with an older
-// state. If it served what the service holds, callers would meet an edit undone
-// that every other entry still has in force.
+// An entry starts just after the key-value service was restored to an older
+// state. If it served that state, its callers would see an edit undone that is
+// in force in every other entry.
 TEST_CASE("a starting process waits for the revision that a peer holds") {
   Readiness readiness = StartWithPeer("entry-1");
   HandleStoreAnswer(readiness, 5);
@@ -31,18 +31,17 @@
   CHECK(UpdateReadiness(readiness, 7, kStart));
 }
 
-// The key-value service is down when an entry starts; its peers hold all that
-// it needs.
-TEST_CASE("a peer stands in for the store during an outage") {
+// The key-value service is unavailable when an entry starts; its peers have the
+// complete catalogue.
+TEST_CASE("a peer replaces the store during an outage") {
   Readiness readiness = StartWithPeer("entry-1");
   CHECK_FALSE(UpdateReadiness(readiness, 0, kStart + kPeerWait));
   HandlePeerRevision(readiness, "entry-1", 7);
   CHECK(UpdateReadiness(readiness, 7, kStart));
 }
 
-// A VM has died and is listed still: its silence must not keep new processes
-// from serving.
-TEST_CASE("a silent peer delays a start by a bounded time") {
+// A failed VM that is still listed must not keep new processes from serving.
+TEST_CASE("an unresponsive peer delays a start by a bounded time") {
   Readiness readiness = StartWithPeer("entry-1");
   HandleStoreAnswer(readiness, 5);
   CHECK_FALSE(UpdateReadiness(readiness, 5, kStart));
@@ -56,7 +55,7 @@
   CHECK(UpdateReadiness(readiness, 5, kStart));
 }
 
-// 340 entries that all watch read each change 340 times at one moment.
+// If all 340 entries watched, each change would be read 340 times at once.
 TEST_CASE("two entries of a zone watch the store") {
   constexpr size_t kEntriesOfZone = 57;
   std::vector<std::string> zone;
