--- a/Services/bramleyspand/Agent/Admission.cc
+++ b/Services/bramleyspand/Agent/Admission.cc
@@ -11,8 +11,8 @@
   return static_cast<catalogue::ServiceClass>(std::min(number, kLast));
 }
 
-// The claim key is burnt before the caller hears "not run", so that no late
-// duplicate runs after it.
+// Refuses a call that did not start. The claim key is invalidated before the
+// caller gets "not run", so that no late duplicate runs after it.
 void RefuseUnstarted(AgentState& state,
                      uint64_t forward,
                      Duration retry_after) {
@@ -21,20 +21,20 @@
                      "the target cannot answer in time", retry_after));
 }
 
-void StartWaiting(AgentState& state, uint64_t forward) {
+void StartWaitingCall(AgentState& state, uint64_t forward) {
   const auto waiting = state.waiting.extract(forward);
   if (!waiting.empty()) {
     Forward(state, waiting.mapped(), forward);
   }
 }
 
-void Obey(AgentState& state, const admission::Effects& effects) {
-  for (const admission::GivenUp& given_up : effects.give_up) {
-    state.waiting.erase(given_up.id);
-    RefuseUnstarted(state, given_up.id, given_up.retry_after);
+void PerformAdmission(AgentState& state, const admission::Effects& effects) {
+  for (const admission::GivenUp& refused : effects.give_up) {
+    state.waiting.erase(refused.id);
+    RefuseUnstarted(state, refused.id, refused.retry_after);
   }
   for (const uint64_t forward : effects.start) {
-    StartWaiting(state, forward);
+    StartWaitingCall(state, forward);
   }
 }
 
@@ -63,7 +63,7 @@
   }
 }
 
-void NoteProgress(AgentState& state, uint64_t forward) {
+void RecordProgress(AgentState& state, uint64_t forward) {
   admission::HandleProgress(state.admission, forward, EventLoop::Now());
 }
 
@@ -72,12 +72,12 @@
   if (admission::Withdraw(state.admission, forward)) {
     return;
   }
-  Obey(state, admission::HandleEnd(state.admission, forward, is_measured,
-                                   EventLoop::Now()));
+  PerformAdmission(state, admission::HandleEnd(state.admission, forward,
+                                               is_measured, EventLoop::Now()));
 }
 
-void ReviewWaiting(AgentState& state) {
-  Obey(state, admission::Review(state.admission, EventLoop::Now()));
+void RefuseLateCalls(AgentState& state) {
+  PerformAdmission(state, admission::Review(state.admission, EventLoop::Now()));
 }
 
 wire::EstimateT EstimateFor(const AgentState& state,
--- a/Services/bramleyspand/Agent/AgentRole.cc
+++ b/Services/bramleyspand/Agent/AgentRole.cc
@@ -19,11 +19,11 @@
 using telemetry::LogLevel;
 
 constexpr Duration kDrainCheckInterval = std::chrono::milliseconds(100);
-// A call may be on its way from an entry that has not heard of the stop: the
-// agent stays this long to say "not run" itself.
-constexpr Duration kLeaveNotice = std::chrono::seconds(2);
-// How long the last answers may take to reach the entries.
-constexpr Duration kLongestFlush = std::chrono::seconds(2);
+// Entries that have not received the Leaving frame may still send calls: the
+// agent keeps running for this long and answers them with "not run" itself.
+constexpr Duration kLeavingNoticeTime = std::chrono::seconds(2);
+// Maximum time for the last answers to reach the entries.
+constexpr Duration kMaxFlushTime = std::chrono::seconds(2);
 constexpr Duration kVmListInterval = std::chrono::seconds(2);
 constexpr Duration kEpochCheckInterval = std::chrono::seconds(10);
 constexpr Duration kAntiEntropyInterval = std::chrono::seconds(2);
@@ -78,11 +78,11 @@
         }));
     this->listener = TRY(Listener::Listen(
         this->state.loop, {settings.ip, settings.link_port},
-        [this](h2o_socket_t* socket) { this->AcceptEntry(socket); }));
-    this->state.feed.on_in_force = [this] { this->TellRevision(); };
-    this->ForgetEpochsForever();
-    WatchDeadlines(this->state);
-    this->WatchVmList();
+        [this](h2o_socket_t* socket) { this->AcceptConnection(socket); }));
+    this->state.feed.on_in_force = [this] { this->SendRevision(); };
+    this->RemoveExpiredEpochsPeriodically();
+    CheckDeadlinesPeriodically(this->state);
+    this->PollVmList();
     this->RunAntiEntropy();
     return Succeed();
   }
@@ -93,14 +93,14 @@
     }
     this->StartLeaving("planned stop");
     const TimePoint now = EventLoop::Now();
-    this->notice_ends = now + kLeaveNotice;
+    this->notice_ends = now + kLeavingNoticeTime;
     this->idle_since = now;
     this->drain_ends = now + this->state.settings.drain_bound;
     this->StopWhenIdle();
   }
 
  private:
-  void AcceptEntry(h2o_socket_t* socket) {
+  void AcceptConnection(h2o_socket_t* socket) {
     wire::ConnectionEvents events;
     events.on_frame = [this](wire::Connection& connection,
                              const wire::FrameT& frame) {
@@ -125,8 +125,8 @@
     this->state.connections.insert(std::move(connection));
   }
 
-  // From now on the agent refuses new work itself, so that it does not matter
-  // who has heard of it.
+  // Makes the agent itself refuse new calls, whether or not the entries have
+  // received the Leaving frame.
   void StartLeaving(const std::string& reason) {
     if (std::exchange(this->state.is_leaving, true)) {
       return;
@@ -140,8 +140,9 @@
     }
   }
 
-  // The platform may announce that the VM leaves before it stops the process.
-  void WatchVmList() {
+  // Polls the VM list, where the platform may announce that the VM leaves
+  // before it stops the process.
+  void PollVmList() {
     platform::FetchVmList(
         this->state.client, this->state.settings.vm_list,
         [this](const Result<std::vector<platform::Vm>>& vms) {
@@ -151,14 +152,14 @@
             return;
           }
           this->state.loop.RunAfter(kVmListInterval,
-                                    [this] { this->WatchVmList(); });
+                                    [this] { this->PollVmList(); });
         });
   }
 
-  // Repeats what may have been lost: requests for shards, and the revision by
-  // which an entry sees that this agent lags.
+  // Repeats messages that may have been lost: requests for shards, and the
+  // revision that shows an entry that this agent lags.
   void RunAntiEntropy() {
-    this->TellRevision();
+    this->SendRevision();
     for (const auto& connection : this->state.connections) {
       this->state.feed.AskForPendingShards(*connection);
     }
@@ -166,7 +167,7 @@
                               [this] { this->RunAntiEntropy(); });
   }
 
-  void TellRevision() {
+  void SendRevision() {
     for (const auto& connection : this->state.connections) {
       this->state.feed.TellInForce(*connection);
     }
@@ -211,17 +212,18 @@
     UpdateSharedGauges(now.feed);
   }
 
-  void ForgetEpochsForever() {
+  void RemoveExpiredEpochsPeriodically() {
     claims::ForgetOldEpochs(this->state.calls.claims, EventLoop::Now());
-    this->state.loop.RunAfter(kEpochCheckInterval,
-                              [this] { this->ForgetEpochsForever(); });
+    this->state.loop.RunAfter(kEpochCheckInterval, [this] {
+      this->RemoveExpiredEpochsPeriodically();
+    });
   }
 
   void StopWhenIdle() {
     const TimePoint now = EventLoop::Now();
     if (!this->state.calls.forwarded.empty()) {
       this->idle_since = now;
-      this->CutAtBound(now);
+      this->AbortAtBound(now);
     } else if (now >= this->notice_ends) {
       this->SealOnce();
       if (this->is_flushed(now)) {
@@ -233,17 +235,17 @@
                               [this] { this->StopWhenIdle(); });
   }
 
-  void CutAtBound(TimePoint now) {
+  void AbortAtBound(TimePoint now) {
     if (now < this->drain_ends) {
       return;
     }
     Log(LogLevel::kWarning, "drain", "drain_bound_reached",
         {{"cut", std::to_string(this->state.calls.forwarded.size())}});
-    CutAllCalls(this->state);
+    AbortAllCalls(this->state);
   }
 
-  // Nothing runs and no key will: tell the entries, which answer for the keys
-  // when this process is gone.
+  // Sends the closing record once: no call runs and no key will run any more,
+  // and the entries answer for the keys after this process has stopped.
   void SealOnce() {
     if (std::exchange(this->is_sealed, true)) {
       return;
@@ -252,10 +254,10 @@
     this->idle_since = EventLoop::Now();
   }
 
-  // The end of the last answer may still wait for a slow entry; stopping now
-  // would cut off an answer that the back end has finished.
+  // The last bytes of an answer may still wait for a slow entry; stopping now
+  // would truncate an answer that the back end has completed.
   bool is_flushed(TimePoint now) const {
-    return this->unsent_bytes() == 0 || now >= this->idle_since + kLongestFlush;
+    return this->unsent_bytes() == 0 || now >= this->idle_since + kMaxFlushTime;
   }
 
   size_t unsent_bytes() const {
--- a/Services/bramleyspand/Agent/AgentState.h
+++ b/Services/bramleyspand/Agent/AgentState.h
@@ -1,4 +1,4 @@
-// What an agent process holds; its parts are free functions over this.
+// State of an agent process; its parts are free functions on it.
 #pragma once
 
 #include <map>
@@ -27,24 +27,24 @@
   CatalogueFeed feed;
   calls::AgentCalls calls;
   admission::Admission admission;
-  // The calls that wait for a slot of the back end, by their forwards.
+  // Calls that wait for a slot of the back end, by forward id.
   std::map<uint64_t, wire::CallT> waiting;
   std::set<std::shared_ptr<wire::Connection>> connections;
-  // The connections by their ids, as the recipients of answers name them.
+  // Connections by their ids, which identify the recipients of answers.
   std::map<uint64_t, std::weak_ptr<wire::Connection>> callers;
-  // The exchanges with the back end, by the forwards of `calls`.
+  // Exchanges with the back end, by forward id.
   std::map<uint64_t, std::shared_ptr<http::ClientCall>> exchanges;
   bool is_leaving = false;
 };
 
-// Ends calls that have waited too long, for ever (Calls.cc).
-void WatchDeadlines(AgentState& state);
+// Ends calls whose deadline has passed; repeats itself (Calls.cc).
+void CheckDeadlinesPeriodically(AgentState& state);
 
-// The bound of the planned stop has come (Calls.cc).
-void CutAllCalls(AgentState& state);
+// Aborts all running calls when the drain bound is reached (Calls.cc).
+void AbortAllCalls(AgentState& state);
 
-// Tells all entries what became of the claim keys (Calls.cc). The agent must be
-// leaving and nothing may be running.
+// Sends the closing record of the claim keys to all entries (Calls.cc). The
+// agent must be leaving and no call may be running.
 void SendSeal(AgentState& state);
 
 // Handles a frame of an entry (Calls.cc).
@@ -52,7 +52,7 @@
                       wire::Connection& connection,
                       const wire::FrameT& frame);
 
-// The entry of this connection is gone (Calls.cc).
+// Handles the end of an entry's connection (Calls.cc).
 void HandleLostEntry(AgentState& state, const wire::Connection& connection);
 
 }  // namespace bramleyspan::agent
--- a/Services/bramleyspand/Agent/Calls.cc
+++ b/Services/bramleyspand/Agent/Calls.cc
@@ -9,7 +9,7 @@
 
 constexpr Duration kDeadlineCheckInterval = std::chrono::milliseconds(20);
 constexpr size_t kNonceBytes = 12;
-// A seal of more keys would not fit into a frame.
+// A closing record of more keys would exceed the maximum size of a frame.
 constexpr size_t kMostSealedKeys = 50'000;
 
 wire::Verdict ToWire(calls::Verdict verdict) {
@@ -103,7 +103,7 @@
   events.on_bytes = [&state, forward](std::string_view bytes) {
     Perform(state,
             calls::ReceiveBytes(state.calls, forward, bytes, EventLoop::Now()));
-    NoteProgress(state, forward);
+    RecordProgress(state, forward);
   };
   events.on_end = [&state, forward](const Result<void>& outcome) {
     state.exchanges.erase(forward);
@@ -127,7 +127,8 @@
                   {"bramleyspan-request", call.request},
                   {"bramleyspan-entry", call.catalogue_entry}},
       .body = call.body,
-      // The deadlines of `calls` end it; this bound is only a last resort.
+      // The deadlines of `calls` end the call earlier; this timeout is a last
+      // resort.
       .timeout = 2 * state.calls.settings.longest_run,
       .connection_use = call.claim.empty() ? http::ConnectionUse::kShared
                                            : http::ConnectionUse::kFresh};
@@ -138,7 +139,8 @@
   }
 }
 
-// Does what the decisions ask for; StartForward stands only after a call.
+// Performs effects. StartForward is handled by HandleCall, the only one that
+// gets it.
 void Perform(AgentState& state, const calls::Effects& effects) {
   for (const calls::Effect& effect : effects) {
     if (const auto* cancel = std::get_if<calls::CancelForward>(&effect)) {
@@ -239,13 +241,13 @@
   Perform(state, calls::LoseConnection(state.calls, connection.id));
 }
 
-void WatchDeadlines(AgentState& state) {
-  // Before the deadlines: what still waits has surely not run, and its caller
-  // is to hear so.
-  ReviewWaiting(state);
+void CheckDeadlinesPeriodically(AgentState& state) {
+  // Runs before the deadline check: a call that still waits has certainly not
+  // run, and its caller gets "not run".
+  RefuseLateCalls(state);
   Perform(state, calls::CheckDeadlines(state.calls, EventLoop::Now()));
   state.loop.RunAfter(kDeadlineCheckInterval,
-                      [&state] { WatchDeadlines(state); });
+                      [&state] { CheckDeadlinesPeriodically(state); });
 }
 
 void SendSeal(AgentState& state) {
@@ -265,7 +267,7 @@
   }
 }
 
-void CutAllCalls(AgentState& state) {
+void AbortAllCalls(AgentState& state) {
   Perform(state, calls::CutAll(state.calls));
 }
 
--- a/Services/bramleyspand/Entry/Addresses.cc
+++ b/Services/bramleyspand/Entry/Addresses.cc
@@ -24,10 +24,10 @@
            {"zone", vm.zone}});
     }
   }
-  const auto keep =
+  const auto lifetime =
       std::chrono::duration_cast<std::chrono::seconds>(kAddressLifetime);
   exchange->Respond(JsonResponse(
-      200, {{"addresses", addresses}, {"keep_seconds", keep.count()}}));
+      200, {{"addresses", addresses}, {"keep_seconds", lifetime.count()}}));
 }
 
 }  // namespace bramleyspan::entry
--- a/Services/bramleyspand/Entry/CallerApi.cc
+++ b/Services/bramleyspand/Entry/CallerApi.cc
@@ -4,26 +4,26 @@
 
 namespace {
 
-constexpr size_t kLargestCallerBody = 1 << 20;
+constexpr size_t kMaxCallerBodyBytes = 1 << 20;
 constexpr std::string_view kChatPath = "/v1/chat/completions";
 constexpr std::string_view kServicePrefix = "/v1/services/";
 
-// What this entry can say of a request that it sends to no agent. With a claim
-// key, another attempt may have run by another entry or at another revision of
-// the catalogue; "not run" would be a guess, and the caller would take a new
-// key and run the call twice. Only the key's agent may say it.
-RunState RunStateUnasked(const http::Request& request) {
+// Returns the run state of a request that this entry sends to no agent. With a
+// claim key, another attempt may have run through another entry or at another
+// revision of the catalogue. A wrong "not run" would make the caller take a new
+// key and run the call twice; only the key's agent may state it.
+RunState RunStateWithoutAgent(const http::Request& request) {
   const bool has_claim =
       !http::FindHeader(request.headers, "bramleyspan-claim").empty();
   return has_claim ? RunState::kUnknown : RunState::kNotRun;
 }
 
-void RefuseUnasked(const http::Request& request,
-                   const ExchangePointer& exchange,
-                   const Error& error,
-                   std::optional<Duration> retry_after = std::nullopt) {
+void RefuseWithoutAgent(const http::Request& request,
+                        const ExchangePointer& exchange,
+                        const Error& error,
+                        std::optional<Duration> retry_after = std::nullopt) {
   exchange->Respond(ToResponse({.error = error,
-                                .run = RunStateUnasked(request),
+                                .run = RunStateWithoutAgent(request),
                                 .retry_after = retry_after}));
 }
 
@@ -49,16 +49,16 @@
                    const ExchangePointer& exchange) {
   const auto found = FindEntry(state, request);
   if (found.has_error()) {
-    RefuseUnasked(request, exchange, found.error());
+    RefuseWithoutAgent(request, exchange, found.error());
     return;
   }
   const catalogue::Entry& entry = *found.value();
   const std::string prefix = std::string(kServicePrefix) + entry.back_end + "/";
   if (entry.kind != catalogue::BackEndKind::kService ||
       !request.path.starts_with(prefix)) {
-    RefuseUnasked(request, exchange,
-                  {ErrorCode::kForbidden, entry.name,
-                   "the path is not this entry's service"});
+    RefuseWithoutAgent(request, exchange,
+                       {ErrorCode::kForbidden, entry.name,
+                        "the path is not this entry's service"});
     return;
   }
   const std::string claim(
@@ -66,9 +66,10 @@
   const bool is_at_most_once =
       entry.repetition == catalogue::Repetition::kAtMostOnce;
   if (is_at_most_once != !claim.empty()) {
-    // A key of the caller's own choice names no agent that could remember it:
-    // two entries would send it to two agents, and the call would run twice.
-    RefuseUnasked(
+    // A key that the caller made up names no agent that could detect
+    // duplicates: two entries would send it to two agents, and the call would
+    // run twice.
+    RefuseWithoutAgent(
         request, exchange,
         {ErrorCode::kMalformedRequest, entry.name,
          is_at_most_once
@@ -93,19 +94,19 @@
 void HandleCallerRequest(EntryState& state,
                          const http::Request& request,
                          const ExchangePointer& exchange) {
-  if (request.body.size() > kLargestCallerBody) {
-    RefuseUnasked(request, exchange,
-                  {ErrorCode::kTooLarge, request.path,
-                   "a request's body may have up to a mebibyte"});
+  if (request.body.size() > kMaxCallerBodyBytes) {
+    RefuseWithoutAgent(request, exchange,
+                       {ErrorCode::kTooLarge, request.path,
+                        "a request's body may have up to a mebibyte"});
     return;
   }
-  // An entry that has not caught up could admit by a catalogue that was
-  // replaced long ago, and refuse owners who were added since.
+  // An entry without the current catalogue could admit requests by one that was
+  // replaced long ago, and refuse owners that were added since.
   if (!state.is_ready) {
-    RefuseUnasked(request, exchange,
-                  {ErrorCode::kUnavailable, state.settings.name,
-                   "this entry has not caught up yet; use another one"},
-                  kRetryAfter);
+    RefuseWithoutAgent(request, exchange,
+                       {ErrorCode::kUnavailable, state.settings.name,
+                        "this entry has not caught up yet; use another one"},
+                       kRetryAfter);
     return;
   }
   if (request.path == "/v1/addresses") {
--- a/Services/bramleyspand/Entry/Calls.cc
+++ b/Services/bramleyspand/Entry/Calls.cc
@@ -13,11 +13,11 @@
 namespace {
 
 constexpr size_t kRequestIdBytes = 8;
-constexpr Duration kWatchInterval = std::chrono::milliseconds(20);
-// The agent tells of a missed deadline itself; the entry does only if the
-// agent keeps silent as well.
+constexpr Duration kOverdueCheckInterval = std::chrono::milliseconds(20);
+// The agent reports a missed deadline itself; the entry ends the call only if
+// the agent is unresponsive.
 constexpr Duration kDeadlineGrace = std::chrono::milliseconds(200);
-constexpr Duration kLongestSilence = std::chrono::seconds(70);
+constexpr Duration kMaxAnswerGap = std::chrono::seconds(70);
 
 calls::Verdict FromWire(wire::Verdict verdict) {
   switch (verdict) {
@@ -33,7 +33,8 @@
   return calls::Verdict::kUnknown;
 }
 
-// The call that an agent's frame belongs to, if it is still with that agent.
+// Returns the call of an agent's frame, or nullptr if that agent no longer has
+// it.
 OpenCall* FindAttempt(EntryState& state, uint64_t attempt) {
   const auto found = state.call_of_attempt.find(attempt);
   return found == state.call_of_attempt.end() ? nullptr
@@ -75,7 +76,7 @@
        {"verdict", std::string(NameOf(ending.verdict))},
        {"error", std::string(is_whole ? "" : StableCodeOf(ending.error))}});
   telemetry::Observe(metric_names::kCallTime, {},
-                     EventLoop::Now() - open.arrived);
+                     EventLoop::Now() - open.arrived_at);
 }
 
 http::Response ToResponse(const OpenCall& open, const calls::Ending& ending) {
@@ -124,8 +125,8 @@
 void EndAttempt(EntryState& state, uint64_t id, const calls::Ending& ending) {
   OpenCall& open = state.calls.at(id);
   state.call_of_attempt.erase(open.call.call);
-  NoteAttemptEnd(state, open, ending);
-  open.attempt.remaining = open.first_byte_by - EventLoop::Now();
+  RecordAttemptEnd(state, open, ending);
+  open.attempt.remaining = open.first_byte_deadline - EventLoop::Now();
   const auto next = calls::DecideNextStep(
       state.retry_policy, open.attempt, ending, [&state, &open] {
         return limits::TakeRetry(state.retry_budget, open.call.owner);
@@ -171,8 +172,8 @@
   }
   open->attempt.has_head = true;
   telemetry::Observe(metric_names::kFirstByteTime, {},
-                     EventLoop::Now() - open->arrived);
-  open->last_heard = EventLoop::Now();
+                     EventLoop::Now() - open->arrived_at);
+  open->last_received = EventLoop::Now();
   open->exchange->StartStream(head.status,
                               {{"content-type", head.content_type},
                                {"bramleyspan-request", open->call.request}});
@@ -183,19 +184,21 @@
   if (open == nullptr) {
     return;
   }
-  open->last_heard = EventLoop::Now();
-  NoteFirstBytes(state, chunk.call);
+  open->last_received = EventLoop::Now();
+  RecordFirstByte(state, chunk.call);
   open->exchange->Write(chunk.bytes);
 }
 
 bool is_overdue(const OpenCall& open, TimePoint now) {
-  return open.attempt.has_head ? open.last_heard + kLongestSilence <= now
-                               : open.first_byte_by + kDeadlineGrace <= now;
+  return open.attempt.has_head
+             ? open.last_received + kMaxAnswerGap <= now
+             : open.first_byte_deadline + kDeadlineGrace <= now;
 }
 
-// The agent is frozen or cut off without a sign: the caller must not wait with
-// it. What an agent that wakes sends later belongs to no attempt any more.
-void GiveUp(EntryState& state, uint64_t id) {
+// Ends a call whose agent hangs or is cut off while its connection looks open,
+// so that the caller does not wait for it. Later frames of the agent match no
+// attempt.
+void EndOverdueCall(EntryState& state, uint64_t id) {
   const OpenCall& open = state.calls.at(id);
   if (!open.target.empty()) {
     CancelAtAgent(state, open);
@@ -244,7 +247,7 @@
   open.target = target;
   ++open.attempt.attempts;
   open.call.call = ++state.last_id;
-  const Duration remaining = open.first_byte_by - EventLoop::Now();
+  const Duration remaining = open.first_byte_deadline - EventLoop::Now();
   open.call.remaining_microseconds = std::max(remaining, Duration(0)).count();
   state.call_of_attempt.emplace(open.call.call, id);
   link->second.connection->Send(wire::Encode(open.call));
@@ -258,7 +261,7 @@
   OpenCall open;
   open.exchange = exchange;
   open.deadline = entry.deadline;
-  open.first_byte_by = EventLoop::Now() + entry.deadline;
+  open.first_byte_deadline = EventLoop::Now() + entry.deadline;
   open.attempt.is_repeatable =
       entry.repetition == catalogue::Repetition::kRepeatable;
   open.call.request = RandomHex(kRequestIdBytes);
@@ -282,8 +285,8 @@
   return id;
 }
 
-// An agent that is leaving still knows what became of its keys, and only it
-// may say that a call did not run.
+// A leaving agent still has the records of its keys, and only it may state that
+// a call did not run.
 void RouteByClaim(EntryState& state, const std::string& claim, uint64_t id) {
   const auto key = claims::ParseClaimKey(claim);
   if (key.has_error()) {
@@ -301,8 +304,8 @@
     SendCall(state, id, key.value().agent);
     return;
   }
-  // Another attempt with this key may have reached the agent by another
-  // entry, so that "not run" would be a guess.
+  // Another attempt with this key may have reached the agent through another
+  // entry, so "not run" could be wrong.
   open.attempt.may_have_run = true;
   RefuseCall(state, id, ErrorCode::kOutcomeUnknown,
              "the agent that owns the claim is not reachable; "
@@ -342,7 +345,7 @@
   HandleLostClaimAgent(state, target);
 }
 
-void WatchCalls(EntryState& state) {
+void EndOverdueCalls(EntryState& state) {
   const TimePoint now = EventLoop::Now();
   std::vector<uint64_t> overdue;
   for (const auto& [id, open] : state.calls) {
@@ -351,9 +354,10 @@
     }
   }
   for (const uint64_t id : overdue) {
-    GiveUp(state, id);
+    EndOverdueCall(state, id);
   }
-  state.loop.RunAfter(kWatchInterval, [&state] { WatchCalls(state); });
+  state.loop.RunAfter(kOverdueCheckInterval,
+                      [&state] { EndOverdueCalls(state); });
 }
 
 }  // namespace bramleyspan::entry
--- a/Services/bramleyspand/Entry/CatalogueChanges.cc
+++ b/Services/bramleyspand/Entry/CatalogueChanges.cc
@@ -15,14 +15,14 @@
 using ExchangePointer = std::shared_ptr<http::Exchange>;
 
 constexpr Duration kRetryAfterOutage = std::chrono::seconds(2);
-// An accepted change is passed on before the operator hears of it: were this
-// process to die and the key-value service to go down at that moment, the
-// change would be accepted and in force nowhere.
-constexpr size_t kWantedHolders = 2;
-constexpr Duration kHolderWait = std::chrono::seconds(2);
-constexpr Duration kHolderCheckInterval = std::chrono::milliseconds(10);
+// An accepted change is sent to peers before the operator gets the answer. If
+// this process failed and the key-value service became unavailable right then,
+// the change would be accepted but in force nowhere.
+constexpr size_t kRequiredPeers = 2;
+constexpr Duration kMaxPropagationWait = std::chrono::seconds(2);
+constexpr Duration kPropagationCheckInterval = std::chrono::milliseconds(10);
 
-// What is in force here and on all linked peers.
+// Returns the newest changes in force here and in all linked peers.
 catalogue::KnownChanges KnownChangesOf(const EntryState& state) {
   catalogue::KnownChanges known{state.feed.newest_change()};
   for (const auto& [name, link] : state.links) {
@@ -33,7 +33,7 @@
   return known;
 }
 
-// A commit on its way, kept alive by the callbacks of its effects.
+// A running commit, kept alive by the callbacks of its effects.
 struct RunningCommit : std::enable_shared_from_this<RunningCommit> {
   EntryState& state;
   ExchangePointer exchange;
@@ -97,13 +97,13 @@
             self->VerifyShard(digest);
             return;
           }
-          // "Not written" means that the immutable shard stood there already.
+          // False means that the immutable shard existed already.
           self->Perform(catalogue::HandleShardWritten(self->commit, Succeed()));
         });
   }
 
-  // The write may have taken effect though its reply was lost. What stands
-  // under a digest is what was to be written, so seeing it is enough.
+  // Checks whether a write without a reply took effect. A document under its
+  // own digest is the one to be written, so its presence is sufficient.
   void VerifyShard(const std::string& digest) {
     this->state.key_value.Read(
         std::string(kShardPrefix) + digest,
@@ -134,39 +134,42 @@
     }
     this->accepted_revision = effect.outcome.value();
     this->accepted_at = EventLoop::Now();
-    // The next head may be a failed try's, of a change that came in by another
-    // entry; then this process learns of it as any other does.
+    // The prepared head may be from a failed attempt, while the change was
+    // accepted through another entry. This process then gets the change as
+    // every other process does.
     if (this->commit.next.head.revision == this->accepted_revision) {
       this->state.feed.OfferSnapshot(this->commit.next);
     }
-    this->RespondOnceHeld();
+    this->RespondOncePropagated();
   }
 
-  // Processes, this one included, that have told to have the change in force.
-  size_t CountHolders() const {
+  // Returns the number of processes, this one included, that are known to have
+  // the change in force.
+  size_t CountInForce() const {
     const uint64_t revision = this->accepted_revision;
-    size_t holders = this->state.feed.revision() >= revision ? 1 : 0;
+    size_t in_force_count = this->state.feed.revision() >= revision ? 1 : 0;
     for (const auto& [name, link] : this->state.links) {
-      holders += link.in_force.revision >= revision ? 1 : 0;
+      in_force_count += link.in_force.revision >= revision ? 1 : 0;
     }
-    return holders;
+    return in_force_count;
   }
 
-  void RespondOnceHeld() {
-    const size_t holders = this->CountHolders();
+  void RespondOncePropagated() {
+    const size_t in_force_count = this->CountInForce();
     const size_t processes = this->state.links.size() + 1;
-    const bool is_held = holders > std::min(kWantedHolders, processes - 1);
+    const bool is_propagated =
+        in_force_count > std::min(kRequiredPeers, processes - 1);
     const Duration waited = EventLoop::Now() - this->accepted_at;
-    if (!is_held && waited < kHolderWait) {
+    if (!is_propagated && waited < kMaxPropagationWait) {
       this->state.loop.RunAfter(
-          kHolderCheckInterval,
-          [self = this->shared_from_this()] { self->RespondOnceHeld(); });
+          kPropagationCheckInterval,
+          [self = this->shared_from_this()] { self->RespondOncePropagated(); });
       return;
     }
     this->exchange->Respond(
         JsonResponse(200, {{"change", this->commit.change.id},
                            {"revision", this->accepted_revision},
-                           {"in_force_on", holders},
+                           {"in_force_on", in_force_count},
                            {"processes", processes}}));
   }
 
@@ -185,26 +188,28 @@
   }
 };
 
-// A process that has heard nobody can not tell whether the key-value service
-// lost what others have in force; on an older state its commit would be a fork.
-bool is_cut_off(const EntryState& state) {
+// Whether this process has read no VM list or received no peer's revision. It
+// cannot tell then whether the key-value service lost changes that others have
+// in force; a commit on an older state would be a fork.
+bool is_isolated(const EntryState& state) {
   const bool has_others = state.vms.size() > 1;
-  const bool has_heard = std::ranges::any_of(
+  const bool has_peer_revision = std::ranges::any_of(
       state.links, [](const auto& item) { return item.second.is_heard; });
-  return !state.readiness.has_vm_list || (has_others && !has_heard);
+  return !state.readiness.has_vm_list || (has_others && !has_peer_revision);
 }
 
-// Refuses what this process may not commit now. True if it has answered.
-bool AnsweredAtOnce(const EntryState& state,
-                    const std::string& change_id,
-                    const ExchangePointer& exchange) {
-  // The change may be in force though the key-value service has lost it.
+// Answers a change that is in force already, and refuses one that this process
+// must not commit now. Returns whether it answered.
+bool RespondedWithoutCommit(const EntryState& state,
+                            const std::string& change_id,
+                            const ExchangePointer& exchange) {
+  // The change may be in force even if the key-value service has lost it.
   if (const auto* known = catalogue::FindChange(state.feed.head(), change_id)) {
     exchange->Respond(JsonResponse(
         200, {{"change", change_id}, {"revision", known->revision}}));
     return true;
   }
-  if (!state.is_ready || is_cut_off(state)) {
+  if (!state.is_ready || is_isolated(state)) {
     exchange->Respond(ToResponse(
         {.error = {ErrorCode::kUnavailable, change_id,
                    "nothing was changed: this entry has not yet heard what "
@@ -241,7 +246,7 @@
     exchange->Respond(ToResponse({.error = change.error()}));
     return;
   }
-  if (AnsweredAtOnce(state, change.value().id, exchange)) {
+  if (RespondedWithoutCommit(state, change.value().id, exchange)) {
     return;
   }
   auto running = std::make_shared<RunningCommit>(state, exchange);
@@ -260,13 +265,13 @@
     return;
   }
   const std::string id = document["id"];
-  if (AnsweredAtOnce(state, id, exchange)) {
+  if (RespondedWithoutCommit(state, id, exchange)) {
     return;
   }
-  const bool gives_up_branches =
+  const bool abandons_branches =
       document.contains("abandon_other_branches") &&
       document["abandon_other_branches"] == json(true);
-  const auto scope = gives_up_branches ? catalogue::RestoreScope::kAllBranches
+  const auto scope = abandons_branches ? catalogue::RestoreScope::kAllBranches
                                        : catalogue::RestoreScope::kStore;
   auto running = std::make_shared<RunningCommit>(state, exchange);
   running->Perform(catalogue::StartRestore(running->commit, id,
--- a/Services/bramleyspand/Entry/CatalogueSource.cc
+++ b/Services/bramleyspand/Entry/CatalogueSource.cc
@@ -10,7 +10,8 @@
 
 using catalogue::Lineage;
 
-// How often peers are told what is in force here, and lost requests repeated.
+// Interval at which the revision in force is sent to peers and lost shard
+// requests are repeated.
 constexpr Duration kAntiEntropyInterval = std::chrono::seconds(2);
 
 void FetchShardsFromKeyValue(EntryState& state,
@@ -25,9 +26,9 @@
   }
 }
 
-// Compares what the service holds with what was in force here when the read
-// was sent: a read that was sent later must show it, or the service has lost
-// it. An answer that is merely late raises no alarm.
+// Compares the head in the service with the change that was in force here when
+// the read was sent. If the head lacks it, the service has lost it. An answer
+// that is merely late raises no alarm.
 void RaiseOrClearStoreAlarms(EntryState& state,
                              const catalogue::Head& stored,
                              const catalogue::AcceptedChange& known) {
@@ -100,10 +101,10 @@
   }
   state.feed.Clear(CatalogueAlarm::kStoreUnavailable);
   watch.failures = 0;
-  // The index goes back when the service is restored; a watch from the old
-  // one would wait for a change that is long past.
-  const bool has_gone_back = answer.value().index < watch.index;
-  watch.index = has_gone_back ? 0 : answer.value().index;
+  // A restore of the service resets the index to a lower value. A watch from
+  // the old index would miss the changes until it is reached again.
+  const bool is_index_reset = answer.value().index < watch.index;
+  watch.index = is_index_reset ? 0 : answer.value().index;
   OfferAnswer(state, answer.value(), known);
   if (is_watching(state)) {
     FollowStore(state);
@@ -128,8 +129,9 @@
   state.key_value.Watch(key, state.store_watch.index, on_done);
 }
 
-// Asks one peer and the key-value service for what a pending head lacks.
-void RepeatLostRequests(EntryState& state) {
+// Requests the missing shards of a pending head from one peer and the key-value
+// service.
+void RetryShardRequests(EntryState& state) {
   const auto missing = state.feed.pending_shards();
   if (missing.empty()) {
     return;
@@ -144,7 +146,7 @@
 }
 
 void RunAntiEntropy(EntryState& state) {
-  RepeatLostRequests(state);
+  RetryShardRequests(state);
   TellInForce(state);
   RefreshReadiness(state);
   if (is_watching(state)) {
--- a/Services/bramleyspand/Entry/Claims.cc
+++ b/Services/bramleyspand/Entry/Claims.cc
@@ -11,9 +11,9 @@
 
 using nlohmann::json;
 
-constexpr uint32_t kMostKeys = 64;
-// Agents that a request for keys is shown to before it is refused.
-constexpr size_t kMostAgents = 3;
+constexpr uint32_t kMaxKeys = 64;
+// Maximum number of agents that a request for keys is sent to.
+constexpr size_t kMaxAgents = 3;
 constexpr Duration kAgentTimeout = std::chrono::milliseconds(500);
 
 uint32_t ParseCount(const std::string& body) {
@@ -23,12 +23,12 @@
     return 1;
   }
   return static_cast<uint32_t>(
-      std::min<uint64_t>(document["count"].get<uint64_t>(), kMostKeys));
+      std::min<uint64_t>(document["count"].get<uint64_t>(), kMaxKeys));
 }
 
-// Takes the request out of those that are open; what its agent still sends
-// finds nothing, and keys that nobody holds never run.
-OpenClaimRequest Take(EntryState& state, uint64_t request) {
+// Removes and returns an open request. A late reply of its agent then matches
+// no request, and keys that no caller has never run.
+OpenClaimRequest RemoveRequest(EntryState& state, uint64_t request) {
   const auto found = state.claim_requests.find(request);
   OpenClaimRequest open = std::move(found->second);
   state.claim_requests.erase(found);
@@ -36,9 +36,9 @@
   return open;
 }
 
-// Keys can be asked for again, so a frozen, dead or leaving agent costs its
-// callers no more than the time to ask the next.
-void AskNextAgent(EntryState& state, OpenClaimRequest open) {
+// Sends the request to the next agent. Requests for keys are repeatable, so an
+// unresponsive, failed or leaving agent costs the caller only kAgentTimeout.
+void RequestFromNextAgent(EntryState& state, OpenClaimRequest open) {
   while (!open.candidates.empty()) {
     open.target = open.candidates.back();
     open.candidates.pop_back();
@@ -49,7 +49,7 @@
     const uint64_t request = ++state.last_id;
     open.frame.request = request;
     open.timer = state.loop.RunAfter(kAgentTimeout, [&state, request] {
-      AskNextAgent(state, Take(state, request));
+      RequestFromNextAgent(state, RemoveRequest(state, request));
     });
     link->connection->Send(wire::Encode(open.frame));
     state.claim_requests.emplace(request, std::move(open));
@@ -75,25 +75,25 @@
   open.frame.catalogue_entry = entry.value()->name;
   open.frame.count = ParseCount(request.body);
   for (const routing::Candidate& candidate : routing::PickCandidates(
-           FindCandidates(state, *entry.value()), kMostAgents, RandomBits())) {
+           FindCandidates(state, *entry.value()), kMaxAgents, RandomBits())) {
     open.candidates.push_back(candidate.target);
   }
-  AskNextAgent(state, std::move(open));
+  RequestFromNextAgent(state, std::move(open));
 }
 
 void HandleClaimReply(EntryState& state, const wire::ClaimReplyT& reply) {
   if (!state.claim_requests.contains(reply.request)) {
     return;
   }
-  OpenClaimRequest open = Take(state, reply.request);
+  OpenClaimRequest open = RemoveRequest(state, reply.request);
   if (!reply.error.empty()) {
-    AskNextAgent(state, std::move(open));
+    RequestFromNextAgent(state, std::move(open));
     return;
   }
-  const auto keep = std::chrono::duration_cast<std::chrono::seconds>(
+  const auto retention = std::chrono::duration_cast<std::chrono::seconds>(
       Duration(reply.keep_microseconds));
   open.exchange->Respond(JsonResponse(
-      200, {{"keys", reply.keys}, {"keep_seconds", keep.count()}}));
+      200, {{"keys", reply.keys}, {"keep_seconds", retention.count()}}));
 }
 
 void HandleLostClaimAgent(EntryState& state, const std::string& target) {
@@ -104,7 +104,7 @@
     }
   }
   for (const uint64_t request : lost) {
-    AskNextAgent(state, Take(state, request));
+    RequestFromNextAgent(state, RemoveRequest(state, request));
   }
 }
 
--- a/Services/bramleyspand/Entry/EntryRole.cc
+++ b/Services/bramleyspand/Entry/EntryRole.cc
@@ -12,7 +12,7 @@
 using telemetry::Log;
 using telemetry::LogLevel;
 
-constexpr size_t kLargestOperatorBody = 8 << 20;
+constexpr size_t kMaxOperatorBodyBytes = 8 << 20;
 constexpr Duration kDrainCheckInterval = std::chrono::milliseconds(100);
 
 class EntryRole : public Role {
@@ -22,8 +22,9 @@
 
   Result<void> Start() {
     const Settings& settings = this->state.settings;
-    // An operator sends a whole catalogue: 1,500 owners take over a megabyte.
-    const http::ServerLimits limits{.largest_body = kLargestOperatorBody};
+    // An operator sends a complete catalogue: 1,500 owners take more than a
+    // megabyte.
+    const http::ServerLimits limits{.largest_body = kMaxOperatorBodyBytes};
     this->server = TRY(http::Server::Listen(
         this->state.loop, {settings.ip, settings.caller_port}, limits,
         [this](const http::Request& request,
@@ -35,7 +36,7 @@
         [this](h2o_socket_t* socket) { AcceptLink(this->state, socket); }));
     StartCatalogueSource(this->state);
     StartLinks(this->state);
-    WatchCalls(this->state);
+    EndOverdueCalls(this->state);
     return Succeed();
   }
 
@@ -46,13 +47,13 @@
     Log(LogLevel::kInfo, "drain", "drain_started",
         {{"in_flight", std::to_string(this->server->open_exchanges())}});
     AnnounceLeaving(this->state);
-    // A caller that sends its next request on a kept connection just as this
-    // process exits gets no answer. So each is told with its next answer to
-    // connect anew, while there is time to do so.
+    // A request that arrives on a persistent connection just as this process
+    // exits gets no answer. The next answer of each connection therefore closes
+    // it, so that the caller reconnects in time.
     this->server->CloseKeptConnections();
     this->drain_ends = EventLoop::Now() + this->state.settings.drain_bound;
-    // Callers keep the addresses that they were told for a while and may still
-    // connect here: serve on until all kept answers have run out.
+    // Callers cache addresses and may still connect here, so the entry serves
+    // until all cached answers have expired.
     this->state.loop.RunAfter(kAddressLifetime, [this] {
       this->server->Drain();
       this->StopWhenIdle();
--- a/Services/bramleyspand/Entry/EntryState.h
+++ b/Services/bramleyspand/Entry/EntryState.h
@@ -1,4 +1,4 @@
-// What an entry process holds; its parts are free functions over this.
+// State of an entry process; its parts are free functions on it.
 #pragma once
 
 #include <functional>
@@ -24,44 +24,46 @@
 
 namespace bramleyspan::entry {
 
-// A caller's request between its arrival and the end of its answer.
+// A caller's request from its arrival to the end of its answer.
 struct OpenCall {
   std::shared_ptr<http::Exchange> exchange;
   wire::CallT call;
   Duration deadline{};
-  // The VM whose agent has the call; empty while it is with none.
+  // The VM whose agent has the call; empty while no agent has it.
   std::string target;
   // The VMs whose agents had the call before.
   std::set<std::string> tried;
   calls::Attempt attempt{.attempts = 0};
-  TimePoint first_byte_by;
-  TimePoint last_heard;
-  TimePoint arrived = EventLoop::Now();
+  TimePoint first_byte_deadline;
+  TimePoint last_received;
+  TimePoint arrived_at = EventLoop::Now();
 };
 
-// A probe round whose answers are still coming in.
+// A round of probes that waits for answers.
 struct ProbeRound {
   uint64_t call = 0;
   std::map<uint64_t, routing::Candidate> outstanding;
   std::vector<routing::ProbeAnswer> answers;
-  // All that could answer; no more than a share of them is ever left out.
+  // All candidates. The router excludes no more than a fraction of them after
+  // failures.
   std::vector<routing::Candidate> all;
-  // No candidate of an earlier round answered.
+  // The second round of a call: no candidate of the first one answered.
   bool is_second = false;
   TimerId timer = 0;
 };
 
-// A request for claim keys that an agent has not answered yet.
+// A request for claim keys that no agent has answered yet.
 struct OpenClaimRequest {
   std::shared_ptr<http::Exchange> exchange;
   std::string target;
   wire::ClaimRequestT frame;
-  // The VMs whose agents are asked next, the last one first.
+  // The VMs whose agents get the request next, last one first.
   std::vector<std::string> candidates;
   TimerId timer = 0;
 };
 
-// The reads and watches of the catalogue's head, one call at a time.
+// State of the reads and watches of the catalogue's head; at most one call is
+// open.
 struct StoreWatch {
   uint64_t index = 0;
   uint32_t failures = 0;
@@ -84,8 +86,8 @@
   std::vector<platform::Vm> vms;
   LinkMap links;
   std::map<uint64_t, OpenCall> calls;
-  // The call of each attempt that an agent has. An attempt's id is never used
-  // again, so that a late frame of one that was given up finds nothing.
+  // The call of each attempt that an agent has. Attempt ids are never reused,
+  // so a late frame of an abandoned attempt matches none.
   std::map<uint64_t, uint64_t> call_of_attempt;
   calls::RetryPolicy retry_policy;
   limits::RetryBudget retry_budget;
@@ -99,29 +101,30 @@
   bool is_leaving = false;
   StoreWatch store_watch;
   catalogue::Readiness readiness;
-  // Whether this process has in force what others had when it started.
+  // Whether this process has in force what the store and its peers had when it
+  // started.
   bool is_ready = false;
 };
 
-// How long a caller may keep the addresses that it was told.
+// How long a caller may cache the addresses of an answer.
 inline constexpr Duration kAddressLifetime = std::chrono::seconds(5);
 
-// Where the catalogue lives in the key-value service.
+// Keys of the catalogue in the key-value service.
 inline constexpr std::string_view kHeadKey = "bramleyspan/catalogue/head";
 inline constexpr std::string_view kShardPrefix = "bramleyspan/catalogue/shard/";
 
-// Links (Links.cc): keeps links to all agents and peers of the VM list.
+// Links.cc: keeps links to all agents and entries of the VM list.
 void StartLinks(EntryState& state);
 void AcceptLink(EntryState& state, h2o_socket_t* socket);
 void AnnounceCatalogue(EntryState& state);
 void TellInForce(EntryState& state);
 void AnnounceLeaving(EntryState& state);
 
-// The catalogue (CatalogueSource.cc): follows the key-value service.
+// CatalogueSource.cc: follows the catalogue in the key-value service.
 void StartCatalogueSource(EntryState& state);
 void RefreshReadiness(EntryState& state);
 
-// Changes of the catalogue (CatalogueChanges.cc): commits and restores.
+// CatalogueChanges.cc: commits change sets and restores of the catalogue.
 void HandleChange(EntryState& state,
                   const http::Request& request,
                   const std::shared_ptr<http::Exchange>& exchange);
@@ -129,20 +132,20 @@
                    const http::Request& request,
                    const std::shared_ptr<http::Exchange>& exchange);
 
-// Calls (Calls.cc): routes callers' requests to agents.
+// Calls.cc: routes callers' requests to agents.
 void HandleCallerRequest(EntryState& state,
                          const http::Request& request,
                          const std::shared_ptr<http::Exchange>& exchange);
 void HandleAgentFrame(EntryState& state, const wire::FrameT& frame);
 void HandleLostAgent(EntryState& state, const std::string& target);
-// Ends calls that have waited too long, for ever.
-void WatchCalls(EntryState& state);
+// Ends calls whose agent did not answer in time; repeats itself.
+void EndOverdueCalls(EntryState& state);
 
-// The seals of agents that have stopped (Seals.cc), for a peer that has just
-// started and would have to answer "unknown" without them.
+// Sends the closing records of stopped agents to a peer that has just started;
+// without them it would have to answer "unknown" (ClosingRecords.cc).
 void SendSeals(const EntryState& state, wire::Connection& connection);
 
-// Operators (OperatorApi.cc).
+// OperatorApi.cc: answers operators' requests.
 void HandleOperatorRequest(EntryState& state,
                            const http::Request& request,
                            const std::shared_ptr<http::Exchange>& exchange);
--- a/Services/bramleyspand/Entry/Identity.cc
+++ b/Services/bramleyspand/Entry/Identity.cc
@@ -8,13 +8,13 @@
 Result<const catalogue::Owner*> Authenticate(const EntryState& state,
                                              const http::Request& request) {
   constexpr std::string_view kScheme = "Bearer ";
-  const auto shown = http::FindHeader(request.headers, "authorization");
-  if (!shown.starts_with(kScheme)) {
+  const auto credentials = http::FindHeader(request.headers, "authorization");
+  if (!credentials.starts_with(kScheme)) {
     return Fail(ErrorCode::kUnauthenticated, "authorization",
                 "show an owner's key as 'Authorization: Bearer KEY'");
   }
   const catalogue::Owner* owner = catalogue::FindOwnerByKeyDigest(
-      state.feed.current(), Sha256Hex(shown.substr(kScheme.size())));
+      state.feed.current(), Sha256Hex(credentials.substr(kScheme.size())));
   if (owner == nullptr) {
     return Fail(ErrorCode::kUnauthenticated, "authorization",
                 "no owner has this key");
@@ -24,7 +24,6 @@
 
 }  // namespace
 
-// The catalogue entry that a request names, which must be its owner's.
 Result<const catalogue::Entry*> FindEntry(const EntryState& state,
                                           const http::Request& request) {
   const catalogue::Owner* owner = TRY(Authenticate(state, request));
--- a/Services/bramleyspand/Entry/Links.cc
+++ b/Services/bramleyspand/Entry/Links.cc
@@ -23,7 +23,7 @@
   connection.Send(wire::Encode(std::move(hello)));
 }
 
-// Files what a peer says to have in force.
+// Records the change that a peer has in force.
 void HandleRevision(EntryState& state,
                     Link& link,
                     const catalogue::AcceptedChange& in_force) {
@@ -74,8 +74,8 @@
   const auto found = state.links.find(peer);
   if (found == state.links.end() ||
       found->second.connection.get() != &connection) {
-    // The peer came back on a new connection before the old one's end was
-    // seen. That end must not take the new link away.
+    // The peer reconnected before the end of the old connection was detected.
+    // That end must not remove the new link.
     return;
   }
   state.links.erase(found);
@@ -107,8 +107,9 @@
   state.links.insert_or_assign(vm.name, std::move(link));
 }
 
-// Of two entries the one whose name sorts first opens the link.
-bool is_ours_to_open(const EntryState& state, const platform::Vm& vm) {
+// Of two entries, the one whose name sorts first opens the link; links to
+// targets are always opened here.
+bool is_opened_here(const EntryState& state, const platform::Vm& vm) {
   return vm.kind == platform::VmKind::kTarget || state.settings.name < vm.name;
 }
 
@@ -117,7 +118,7 @@
     if (vm.name != state.settings.name) {
       catalogue::HandleListedPeer(state.readiness, vm.name);
     }
-    if (is_ours_to_open(state, vm) && !state.links.contains(vm.name)) {
+    if (is_opened_here(state, vm) && !state.links.contains(vm.name)) {
       OpenLink(state, vm);
     }
   }
@@ -146,7 +147,7 @@
 }
 
 void AcceptLink(EntryState& state, h2o_socket_t* socket) {
-  // Nobody is filed under a name before it has said its name.
+  // A link is registered only after the Hello frame with the peer's name.
   auto peer = std::make_shared<std::string>();
   wire::ConnectionEvents events;
   events.on_frame = [&state, peer](wire::Connection& connection,
@@ -166,7 +167,8 @@
                                     const Error& error) {
     HandleClosed(state, *peer, connection, error);
   };
-  // The link holds the connection from its Hello on; until then the events do.
+  // From Hello on the link owns the connection; until then the timer below
+  // does.
   auto connection = wire::Connection::Accept(socket, std::move(events));
   state.loop.RunAfter(std::chrono::seconds(5), [connection, peer] {
     if (peer->empty()) {
--- a/Services/bramleyspand/Entry/OperatorApi.cc
+++ b/Services/bramleyspand/Entry/OperatorApi.cc
@@ -18,12 +18,14 @@
       .count();
 }
 
-// How long a process has had its revision in force, as seen from here.
+// Returns for how long a state has lasted, as seen by this process.
 int64_t AgeOf(TimePoint since) {
   return MillisecondsOf(EventLoop::Now() - since);
 }
 
-json RowOf(const EntryState& state, const std::string& name, const Link& link) {
+json MakeRow(const EntryState& state,
+             const std::string& name,
+             const Link& link) {
   json row = {{"process", name},
               {"role", link.role},
               {"zone", link.zone},
@@ -39,7 +41,7 @@
   return row;
 }
 
-json OwnRow(const EntryState& state) {
+json MakeOwnRow(const EntryState& state) {
   return {{"process", state.settings.name},
           {"role", "entry"},
           {"zone", state.settings.zone},
@@ -63,9 +65,9 @@
 }
 
 json StatusOf(const EntryState& state) {
-  json rows = json::array({OwnRow(state)});
+  json rows = json::array({MakeOwnRow(state)});
   for (const auto& [name, link] : state.links) {
-    rows.push_back(RowOf(state, name, link));
+    rows.push_back(MakeRow(state, name, link));
   }
   return {{"revision", state.feed.revision()},
           {"change", state.feed.newest_change().id},
--- a/Services/bramleyspand/Entry/Probing.cc
+++ b/Services/bramleyspand/Entry/Probing.cc
@@ -11,11 +11,11 @@
 
 using nlohmann::json;
 
-// Good for the choice of a target; the engine's own count is what is billed.
+// Accurate enough to choose a target; billing uses the engine's own count.
 constexpr size_t kBytesPerToken = 4;
 constexpr size_t kPrefixBytes = 2048;
 
-// The text of a chat request; the whole body if it is none.
+// Returns the text of a chat request, or the whole body if it is not one.
 std::string PromptOf(const std::string& body) {
   const json document = json::parse(body, nullptr, false);
   if (!document.is_object() || !document.contains("messages") ||
@@ -32,7 +32,8 @@
   return prompt;
 }
 
-// Prefixes are apart by owner: one owner's prompts say nothing of another's.
+// Sets the estimated prompt length and the prefix hash. The hash includes the
+// owner, so that prompts of different owners never match.
 void DescribePrompt(wire::CallT& call) {
   const std::string prompt = PromptOf(call.body);
   call.prompt_tokens =
@@ -65,8 +66,8 @@
   }
 }
 
-// The others, after a round in which nobody answered.
-std::vector<routing::Candidate> NotAskedOf(const ProbeRound& round) {
+// Returns the candidates that a round without answers did not probe.
+std::vector<routing::Candidate> UnprobedCandidates(const ProbeRound& round) {
   std::vector<routing::Candidate> others = round.all;
   std::erase_if(others, [&](const routing::Candidate& candidate) {
     return std::ranges::any_of(round.outstanding, [&](const auto& item) {
@@ -76,7 +77,7 @@
   return others;
 }
 
-void NoteUnanswered(EntryState& state, const ProbeRound& round) {
+void RecordUnansweredProbes(EntryState& state, const ProbeRound& round) {
   for (const auto& [probe, candidate] : round.outstanding) {
     state.round_of_probe.erase(probe);
     routing::HandleTargetFailure(state.router, candidate.target, round.all,
@@ -88,21 +89,21 @@
   const ProbeRound round = std::move(state.rounds.at(round_id));
   state.rounds.erase(round_id);
   state.loop.Cancel(round.timer);
-  NoteUnanswered(state, round);
+  RecordUnansweredProbes(state, round);
   const auto call = state.calls.find(round.call);
   if (call == state.calls.end()) {
     return;
   }
   const TimePoint now = EventLoop::Now();
   const routing::Query query = QueryOf(call->second);
-  const Duration remaining = call->second.first_byte_by - now;
+  const Duration remaining = call->second.first_byte_deadline - now;
   const auto choice = routing::ChooseCandidate(state.router, query,
                                                round.answers, remaining, now);
   if (choice) {
     SendTo(state, round.call, *choice);
     return;
   }
-  auto others = NotAskedOf(round);
+  auto others = UnprobedCandidates(round);
   if (round.answers.empty() && !round.is_second && !others.empty()) {
     StartRound(state, round.call, std::move(others), /*is_second=*/true);
     return;
@@ -157,10 +158,11 @@
     if (group.kind != entry.kind || group.back_end != entry.back_end) {
       continue;
     }
-    // A model group is entered at its first rank; replicas are all alike.
-    const size_t doors =
+    // Calls enter a model group at its first rank; replicas of a service are
+    // interchangeable.
+    const size_t entry_points =
         group.kind == catalogue::BackEndKind::kModel ? 1 : group.targets.size();
-    for (size_t i = 0; i < doors; ++i) {
+    for (size_t i = 0; i < entry_points; ++i) {
       if (FindUsableLink(state.links, group.targets[i]) != nullptr) {
         candidates.push_back({name, group.targets[i]});
       }
@@ -207,18 +209,18 @@
   }
 }
 
-void NoteFirstBytes(EntryState& state, uint64_t attempt) {
+void RecordFirstByte(EntryState& state, uint64_t attempt) {
   routing::HandleFirstByte(state.router, attempt, EventLoop::Now());
 }
 
-void NoteAttemptEnd(EntryState& state,
-                    const OpenCall& open,
-                    const calls::Ending& ending) {
+void RecordAttemptEnd(EntryState& state,
+                      const OpenCall& open,
+                      const calls::Ending& ending) {
   routing::HandleForgotten(state.router, open.call.call);
   const auto& entries = state.feed.current().entries;
   const auto entry = entries.find(open.call.catalogue_entry);
-  // An unknown that the agent itself tells, such as a key that it forgot, says
-  // nothing against its target.
+  // An unknown outcome that the agent itself reports, such as a key whose
+  // record has expired, is no failure of its target.
   const bool is_failure = ending.error == ErrorCode::kTimeout ||
                           ending.error == ErrorCode::kOutcomeUnknown;
   if (is_failure && !open.target.empty() && entry != entries.end()) {
--- a/Services/bramleyspand/Entry/Seals.cc
+++ b/Services/bramleyspand/Entry/Seals.cc
@@ -34,7 +34,7 @@
   }
   telemetry::Log(telemetry::LogLevel::kInfo, "calls", "claims_sealed",
                  {{"agent", frame.agent}});
-  // An entry whose link to the agent was down learns of it here.
+  // Entries whose link to the agent was down get the record from here.
   for (const auto& [name, link] : state.links) {
     if (link.role == "entry") {
       link.connection->Send(wire::Encode(frame));
