--- a/Libraries/LibCatalogue/Commit.h
+++ b/Libraries/LibCatalogue/Commit.h
@@ -59,8 +59,9 @@
   // another process is a kConflict.
   kStore,
   // All changes that the restoring process lacks. If a partition left two
-  // branches in force and the service holds a third, every process rejects a
-  // restore with kStore, and the catalogue could not be edited any more.
+  // branches in force and the service holds a third, a restore with kStore is
+  // rejected in every process, and without kAllBranches the catalogue could not
+  // be edited any more.
   kAllBranches,
 };
 
@@ -96,7 +97,7 @@
                             const KnownChanges& known);
 
 // Reads the head again, because the changes in force in this process or its
-// peers have changed during the read and the answer may be from before or after
+// peers changed during the read, and the answer may be from before or after
 // that. Checking it against the earlier `known` could accept a commit on a
 // service that was restored to an older state in between, and fork the
 // catalogue.
--- a/Libraries/LibExpertMap/ExpertMap.cc
+++ b/Libraries/LibExpertMap/ExpertMap.cc
@@ -9,7 +9,7 @@
 
 using nlohmann::json;
 
-constexpr unsigned kNumberBits = 20;
+constexpr unsigned kMapNumberBits = 20;
 
 json ToJson(const ExpertMap& map) {
   return {{"version", map.version}, {"placement", map.placement}};
@@ -33,10 +33,10 @@
   return decision;
 }
 
-// Runs `read` over the parsed text; nlohmann tells of a wrong shape by
-// exceptions, which go no further than this.
+// Applies `read` to the parsed text and converts the exceptions that nlohmann
+// throws for a malformed document to errors.
 template <typename Value, typename Read>
-Result<Value> ParseWith(std::string_view text, Read read) {
+Result<Value> ParseJsonWith(std::string_view text, Read read) {
   try {
     return Value(read(json::parse(text)));
   } catch (const json::exception& failure) {
@@ -47,7 +47,7 @@
 }  // namespace
 
 MapVersion VersionOf(uint64_t incarnation, uint64_t number) {
-  return (incarnation << kNumberBits) + number;
+  return (incarnation << kMapNumberBits) + number;
 }
 
 Placement PlaceRoundRobin(size_t experts, size_t ranks, size_t slots_per_rank) {
@@ -59,8 +59,8 @@
       std::clamp(slots_per_rank * ranks / experts, size_t{1}, ranks);
   for (size_t expert = 0; expert < experts; ++expert) {
     for (size_t replica = 0; replica < replicas; ++replica) {
-      const size_t place = expert * replicas + replica;
-      layer[expert].push_back(static_cast<Rank>(place % ranks));
+      const size_t slot = expert * replicas + replica;
+      layer[expert].push_back(static_cast<Rank>(slot % ranks));
     }
   }
   return {layer};
@@ -83,15 +83,15 @@
 }
 
 Result<ExpertMap> ParseExpertMap(std::string_view text) {
-  return ParseWith<ExpertMap>(text, MapFromJson);
+  return ParseJsonWith<ExpertMap>(text, MapFromJson);
 }
 
 Result<Decision> ParseDecision(std::string_view text) {
-  return ParseWith<Decision>(text, DecisionFromJson);
+  return ParseJsonWith<Decision>(text, DecisionFromJson);
 }
 
 Result<DecisionLog> ParseDecisionLog(std::string_view text) {
-  return ParseWith<DecisionLog>(text, [](const json& document) {
+  return ParseJsonWith<DecisionLog>(text, [](const json& document) {
     DecisionLog log;
     document.at("incarnation").get_to(log.incarnation);
     document.at("holder").get_to(log.holder);
--- a/Libraries/LibExpertMap/ExpertMap.h
+++ b/Libraries/LibExpertMap/ExpertMap.h
@@ -1,5 +1,5 @@
-// Which ranks of a group hold which experts, and the decision from which step
-// on a map is in force.
+// Placement of a group's experts on its ranks, and the decision that sets the
+// step from which a map is in force.
 #pragma once
 
 #include <cstdint>
@@ -12,26 +12,26 @@
 
 namespace bramleyspan::expertmap {
 
-// A place in a rank group; rank 0's agent owns the group's map.
+// Index of a rank in its group. The agent of rank 0 owns the group's map.
 using Rank = uint32_t;
 
-// A lock-step of a group; the first step is 1.
+// Number of a step that all ranks of a group run together; the first step is 1.
 using Step = uint64_t;
 
-// Names a map for ever. Zero names none. Two owners never give one name to two
-// maps, since the owner's incarnation is part of it.
+// Permanent identifier of a map; 0 means no map. It contains the incarnation of
+// the owner, so that two owners never give the same version to two maps.
 using MapVersion = uint64_t;
 
-// The ranks that hold a replica of an expert.
+// Ranks that hold a replica of an expert.
 using ReplicaList = std::vector<Rank>;
 
-// The replicas of each expert of a layer.
+// Replicas of each expert of a layer.
 using LayerPlacement = std::vector<ReplicaList>;
 
-// The replicas of each expert of each layer.
+// Replicas of each expert of each layer.
 using Placement = std::vector<LayerPlacement>;
 
-// A placement with its name.
+// A placement with its version.
 struct ExpertMap {
   MapVersion version = 0;
   Placement placement;
@@ -39,7 +39,7 @@
   bool operator==(const ExpertMap&) const = default;
 };
 
-// Every rank uses `map` in each step from `from_step` on.
+// Every rank uses `map` in all steps from `from_step` on.
 struct Decision {
   ExpertMap map;
   Step from_step = 0;
@@ -47,8 +47,8 @@
   bool operator==(const Decision&) const = default;
 };
 
-// What the key-value service holds for a group: the highest incarnation of a
-// map owner, who that is, and the last decision taken.
+// Document of a group in the key-value service: the highest incarnation of a
+// map owner, the identifier of that owner, and the last decision.
 struct DecisionLog {
   uint64_t incarnation = 0;
   std::string holder;
@@ -57,11 +57,13 @@
   bool operator==(const DecisionLog&) const = default;
 };
 
-// The name of the `number`th map that an owner of this incarnation prepares.
+// Returns the version of map `number` that an owner of this incarnation
+// prepares.
 MapVersion VersionOf(uint64_t incarnation, uint64_t number);
 
-// Spreads experts over the slots of all ranks in turn, as evenly as whole
-// replicas allow and never twice on a rank.
+// Returns a placement that assigns experts round-robin to the slots of all
+// ranks, with the most whole replicas that fit (at least one), never two of one
+// expert on a rank.
 Placement PlaceRoundRobin(size_t experts, size_t ranks, size_t slots_per_rank);
 
 std::string Serialize(const ExpertMap& map);
--- a/Libraries/LibExpertMap/MapOwner.cc
+++ b/Libraries/LibExpertMap/MapOwner.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-bool is_owning(const MapOwner& owner) {
+bool is_owner(const MapOwner& owner) {
   return owner.phase == OwnerPhase::kOwning ||
          owner.phase == OwnerPhase::kDeciding;
 }
@@ -24,8 +24,9 @@
                      });
 }
 
-// The last step that any rank is known to have begun. Only answers to this
-// owner count, so no earlier owner can have granted on a later one.
+// Returns the last step that any rank is known to have begun. Only answers to
+// this owner count; a rank that answered it follows no earlier owner any more,
+// so no grant of an earlier owner is based on a later step.
 Step LastKnownStep(const MapOwner& owner) {
   Step last = 0;
   for (const RankView& view : owner.ranks) {
@@ -46,27 +47,28 @@
   }
 }
 
-void FenceOff(MapOwner& owner, OwnerEffects& effects) {
+void StopAsFenced(MapOwner& owner, OwnerEffects& effects) {
   owner.phase = OwnerPhase::kFencedOff;
   effects.emplace_back(RaiseAlarm{MapAlarm::kFencedOff, owner.group});
 }
 
-// Writes `wanted_log`. A swap in doubt is repeated as it is: whichever attempt
-// takes place, the log ends with this very decision.
-void Swap(MapOwner& owner, OwnerEffects& effects) {
-  effects.emplace_back(SwapLog{owner.log_version, Serialize(owner.wanted_log)});
+// Writes `intended_log`. A swap with unknown outcome is repeated unchanged:
+// whichever attempt takes place, the log contains the same decision.
+void WriteIntendedLog(MapOwner& owner, OwnerEffects& effects) {
+  effects.emplace_back(
+      SwapLog{owner.log_version, Serialize(owner.intended_log)});
 }
 
 void Acquire(MapOwner& owner, DecisionLog found, OwnerEffects& effects) {
-  owner.wanted_log = std::move(found);
-  ++owner.wanted_log.incarnation;
-  owner.wanted_log.holder = owner.holder;
-  Swap(owner, effects);
+  owner.intended_log = std::move(found);
+  ++owner.intended_log.incarnation;
+  owner.intended_log.holder = owner.holder;
+  WriteIntendedLog(owner, effects);
 }
 
-// The log shows what was wanted, so the swap took place.
+// Handles a log that equals the intended one: the swap took place.
 void AcceptLog(MapOwner& owner, OwnerEffects& effects) {
-  owner.log = owner.wanted_log;
+  owner.log = owner.intended_log;
   if (owner.phase == OwnerPhase::kDeciding) {
     owner.next.reset();
   }
@@ -76,7 +78,7 @@
 
 void StartNext(MapOwner& owner, Placement placement, OwnerEffects& effects) {
   owner.next =
-      ExpertMap{VersionOf(owner.log.incarnation, ++owner.prepared_maps),
+      ExpertMap{VersionOf(owner.log.incarnation, ++owner.prepared_map_count),
                 std::move(placement)};
   SendToAll(owner, effects);
 }
@@ -85,7 +87,7 @@
   return owner.log.decision && owner.log.decision->map.placement == placement;
 }
 
-// Starts the switch to the proposed placement unless another is under way.
+// Starts the switch to the proposed placement unless another is in progress.
 void StartProposed(MapOwner& owner, OwnerEffects& effects) {
   if (!owner.proposed || owner.next || owner.phase != OwnerPhase::kOwning) {
     return;
@@ -96,9 +98,9 @@
   }
 }
 
-// One switch at a time: an engine needs to remember only two maps, and the
-// next decision can only follow one that every rank obeys already.
-bool is_last_switch_over(const MapOwner& owner) {
+// Only one switch runs at a time: an engine retains only two maps, and a new
+// decision may only follow one that every rank has applied.
+bool is_last_switch_complete(const MapOwner& owner) {
   if (!owner.log.decision) {
     return true;
   }
@@ -109,55 +111,61 @@
          });
 }
 
-void DecideIfLoaded(MapOwner& owner, OwnerEffects& effects) {
+void DecideIfAllLoaded(MapOwner& owner, OwnerEffects& effects) {
   if (!owner.next || owner.phase != OwnerPhase::kOwning ||
-      !is_last_switch_over(owner) ||
+      !is_last_switch_complete(owner) ||
       !all_ranks(owner, [&](const EngineStatus& engine) {
         return engine.loaded.contains(owner.next->version);
       })) {
     return;
   }
-  // A grant that is still under way, from this owner or a dead one, reaches at
-  // most `window` past the last known step. Were from_step within that reach,
-  // one rank could begin it with the old map before it heard of the new one.
+  // A grant that is still in flight, from this owner or a failed one, reaches
+  // at most `window` steps beyond the last known step. If from_step were within
+  // that range, a rank could begin it with the old map before it received the
+  // new one.
   const Step from_step =
       owner.log.decision ? LastKnownStep(owner) + owner.window + 1 : 1;
-  owner.wanted_log = owner.log;
-  owner.wanted_log.decision = Decision{*owner.next, from_step};
+  owner.intended_log = owner.log;
+  owner.intended_log.decision = Decision{*owner.next, from_step};
   owner.phase = OwnerPhase::kDeciding;
-  Swap(owner, effects);
+  WriteIntendedLog(owner, effects);
 }
 
-// Grants only rise. While a decision is being written they stay as they are:
-// `from_step` was chosen past all that were given.
+// Extends the grant of all ranks; grants never decrease. They stay unchanged
+// while a decision is being written, since its `from_step` lies after all steps
+// granted so far.
 void GrantIfAcknowledged(MapOwner& owner, OwnerEffects& effects) {
   if (owner.phase != OwnerPhase::kOwning || !is_acknowledged(owner)) {
     return;
   }
   const Step until = LastKnownStep(owner) + owner.window;
-  // Half a window at a time, so that orders are few and the group never waits.
+  // Extends by at least half a window, so that there are few orders and the
+  // group never waits.
   if (until >= owner.granted_until + (owner.window + 1) / 2) {
     owner.granted_until = until;
     SendToAll(owner, effects);
   }
 }
 
-void AlarmIfAhead(const MapOwner& owner,
-                  const MapReport& report,
-                  OwnerEffects& effects) {
+void AlarmIfRankAhead(const MapOwner& owner,
+                      const MapReport& report,
+                      OwnerEffects& effects) {
   if (report.engine.version > DecidedVersion(owner)) {
     effects.emplace_back(
-        RaiseAlarm{MapAlarm::kRankIsAhead, std::to_string(report.rank)});
+        RaiseAlarm{MapAlarm::kRankAhead, std::to_string(report.rank)});
   }
 }
 
-void LookForSilentRanks(MapOwner& owner, TimePoint now, OwnerEffects& effects) {
+void AlarmUnresponsiveRanks(MapOwner& owner,
+                            TimePoint now,
+                            OwnerEffects& effects) {
   for (Rank rank = 0; rank < owner.ranks.size(); ++rank) {
     RankView& view = owner.ranks[rank];
-    const bool is_silent = now - view.heard > kSilentRankAlarm;
-    if (is_silent && !std::exchange(view.is_alarm_raised, true)) {
+    const bool is_unresponsive =
+        now - view.last_received > kUnresponsiveRankAlarm;
+    if (is_unresponsive && !std::exchange(view.is_alarm_raised, true)) {
       effects.emplace_back(
-          RaiseAlarm{MapAlarm::kRankIsSilent, std::to_string(rank)});
+          RaiseAlarm{MapAlarm::kRankUnresponsive, std::to_string(rank)});
     }
   }
 }
@@ -166,9 +174,9 @@
 
 std::string_view NameOf(MapAlarm alarm) {
   switch (alarm) {
-    case MapAlarm::kRankIsSilent:
+    case MapAlarm::kRankUnresponsive:
       return "rank_is_silent";
-    case MapAlarm::kRankIsAhead:
+    case MapAlarm::kRankAhead:
       return "rank_is_ahead";
     case MapAlarm::kFencedOff:
       return "fenced_off";
@@ -194,7 +202,7 @@
                         TimePoint now) {
   owner.group = std::move(group);
   owner.holder = std::move(holder);
-  owner.ranks.assign(rank_count, RankView{.report = {}, .heard = now});
+  owner.ranks.assign(rank_count, RankView{.report = {}, .last_received = now});
   return {ReadLog{}};
 }
 
@@ -210,8 +218,8 @@
                            TimePoint now) {
   OwnerEffects effects;
   if (stored.has_error()) {
-    // The next tick reads again. Until then grants given still hold, but the
-    // log's state is not known, so nothing is decided.
+    // The next tick reads again. Until then existing grants remain valid, but
+    // no decision is made, since the state of the log is unknown.
     effects.emplace_back(
         RaiseAlarm{MapAlarm::kLogUnavailable, Describe(stored.error())});
     return effects;
@@ -226,21 +234,23 @@
     }
     found = std::move(parsed).assume_value();
   }
-  if (is_owning(owner) && found.incarnation != owner.log.incarnation) {
-    FenceOff(owner, effects);
+  if (is_owner(owner) && found.incarnation != owner.log.incarnation) {
+    StopAsFenced(owner, effects);
     return effects;
   }
   owner.log_version = stored.value().version;
-  if (found == owner.wanted_log && owner.wanted_log.holder == owner.holder) {
+  if (found == owner.intended_log &&
+      owner.intended_log.holder == owner.holder) {
     for (RankView& view : owner.ranks) {
-      view.heard = std::max(view.heard, now - kSilentRankAlarm);
+      view.last_received =
+          std::max(view.last_received, now - kUnresponsiveRankAlarm);
     }
     AcceptLog(owner, effects);
     StartProposed(owner, effects);
   } else if (owner.phase == OwnerPhase::kAcquiring) {
     Acquire(owner, std::move(found), effects);
   } else if (owner.phase == OwnerPhase::kDeciding) {
-    Swap(owner, effects);
+    WriteIntendedLog(owner, effects);
   }
   return effects;
 }
@@ -252,7 +262,8 @@
   if (swapped.has_error()) {
     return {RaiseAlarm{MapAlarm::kLogUnavailable, Describe(swapped.error())}};
   }
-  // Taken place or lost to another: the log tells, and gives its new version.
+  // Whether the swap took place or another one did, the log shows it together
+  // with its new version.
   return {ReadLog{}};
 }
 
@@ -260,20 +271,20 @@
                              const MapReport& report,
                              TimePoint now) {
   OwnerEffects effects;
-  // An answer to an earlier owner may be older than that owner's last grant.
-  if (!is_owning(owner) || report.incarnation != owner.log.incarnation ||
+  // An answer to an earlier owner may predate that owner's last grant.
+  if (!is_owner(owner) || report.incarnation != owner.log.incarnation ||
       report.group != owner.group || report.rank >= owner.ranks.size()) {
     return effects;
   }
   RankView& view = owner.ranks[report.rank];
-  view.heard = now;
+  view.last_received = now;
   view.is_alarm_raised = false;
-  AlarmIfAhead(owner, report, effects);
-  // Reports that overtook each other must not take the known step back.
+  AlarmIfRankAhead(owner, report, effects);
+  // A reordered report must not lower the known step.
   if (!view.report || report.engine.step >= view.report->engine.step) {
     view.report = report;
   }
-  DecideIfLoaded(owner, effects);
+  DecideIfAllLoaded(owner, effects);
   GrantIfAcknowledged(owner, effects);
   return effects;
 }
@@ -284,9 +295,9 @@
       owner.phase == OwnerPhase::kDeciding) {
     effects.emplace_back(ReadLog{});
   }
-  if (is_owning(owner)) {
+  if (is_owner(owner)) {
     SendToAll(owner, effects);
-    LookForSilentRanks(owner, now, effects);
+    AlarmUnresponsiveRanks(owner, now, effects);
     StartProposed(owner, effects);
   }
   return effects;
--- a/Libraries/LibExpertMap/MapOwner.h
+++ b/Libraries/LibExpertMap/MapOwner.h
@@ -1,10 +1,11 @@
-// The owner of a group's expert map, at the agent beside rank 0: it decides
-// from which step on a map holds and how far the group may run. There is no
-// election, since without rank 0's VM the group is down anyway.
+// Owner of a group's expert map, in the agent beside rank 0. It decides from
+// which step a map is in force and up to which step the group may run. There is
+// no election, since the group cannot run without the VM of rank 0.
 //
-// A switch: load the next weights at all ranks; log the decision (map,
-// from_step) in the key-value service, from_step past every grant ever given;
-// have every rank schedule it; only then grant steps from from_step on.
+// A switch: all ranks load the weights of the next map; the owner logs the
+// decision (map, from_step) in the key-value service, with from_step after all
+// steps ever granted; every rank schedules it; only then the owner grants steps
+// from from_step on.
 #pragma once
 
 #include <cstdint>
@@ -18,20 +19,20 @@
 
 namespace bramleyspan::expertmap {
 
-// How far a group may run past the last step that its owner has heard of. It
-// bounds every grant that can still be under way, and with that the nearest
-// step from which a new map may hold.
+// Number of steps that a group may run beyond the last step known to its owner.
+// It bounds every grant that may still be in flight, and with it the earliest
+// step from which a new map can hold.
 inline constexpr Step kGrantWindow = 256;
 
-// A rank that has not answered for so long is named in an alarm.
-inline constexpr Duration kSilentRankAlarm = std::chrono::seconds(2);
+// A rank without an answer for this long raises an alarm.
+inline constexpr Duration kUnresponsiveRankAlarm = std::chrono::seconds(2);
 
-// What an operator should hear of.
+// Conditions that are reported to operators.
 enum class MapAlarm : uint8_t {
-  // A rank's agent does not answer; the group stops at the granted step.
-  kRankIsSilent,
-  // A rank's engine holds a later map than the decision log.
-  kRankIsAhead,
+  // A rank's agent is unresponsive; the group stops at the granted step.
+  kRankUnresponsive,
+  // A rank's engine has a newer map than the decision log.
+  kRankAhead,
   // Another process has become the owner; this one has stopped.
   kFencedOff,
   // The decision log cannot be read or written.
@@ -43,14 +44,14 @@
 // Returns the stable name of an alarm, such as "rank_is_silent".
 std::string_view NameOf(MapAlarm alarm);
 
-// The decision log as read; version 0 and no text if there is none.
+// The decision log as read; version 0 and empty text if there is none.
 struct StoredLog {
   uint64_t version = 0;
   std::string text;
 };
 
 // Effects that the caller performs. ReadLog is answered by HandleLogRead,
-// SwapLog by HandleLogSwapped; at most one of them is under way.
+// SwapLog by HandleLogSwapped; at most one of them is in flight.
 struct ReadLog {};
 struct SwapLog {
   uint64_t expected_version = 0;
@@ -61,78 +62,80 @@
   MapOrder order;
 };
 struct RaiseAlarm {
-  MapAlarm alarm = MapAlarm::kRankIsSilent;
+  MapAlarm alarm = MapAlarm::kRankUnresponsive;
   std::string detail;
 };
 using OwnerEffect = std::variant<ReadLog, SwapLog, SendOrder, RaiseAlarm>;
 using OwnerEffects = std::vector<OwnerEffect>;
 
-// Where the owner stands with the decision log.
+// State of the owner with respect to the decision log.
 enum class OwnerPhase : uint8_t {
-  // Takes its incarnation by a compare-and-swap of the log.
+  // Acquires its incarnation by a compare-and-swap of the log.
   kAcquiring,
-  // Owns the map; a switch may be under way.
+  // Owns the map; a switch may be in progress.
   kOwning,
-  // The decision is being written; it may be in the log already.
+  // A decision is being written and may already be in the log.
   kDeciding,
-  // Another owner was seen; nothing is ordered any more.
+  // Another owner was detected; no more orders are sent.
   kFencedOff,
 };
 
-// What the owner knows of a rank.
+// The owner's view of a rank.
 struct RankView {
   std::optional<MapReport> report;
-  TimePoint heard{};
+  TimePoint last_received{};
   bool is_alarm_raised = false;
 };
 
 struct MapOwner {
   std::string group;
-  // Random text that tells this process's swaps from any other's.
+  // Random text that distinguishes this process's swaps from those of other
+  // processes.
   std::string holder;
   Step window = kGrantWindow;
   OwnerPhase phase = OwnerPhase::kAcquiring;
   uint64_t log_version = 0;
-  // The log as this owner knows it, its own incarnation included.
+  // The log as last confirmed to this owner, with its own incarnation.
   DecisionLog log;
-  // The log that the swap under way, or in doubt, writes.
-  DecisionLog wanted_log;
+  // The log that the current swap, or one with unknown outcome, writes.
+  DecisionLog intended_log;
   std::optional<ExpertMap> next;
-  // Proposed while a switch was under way; starts after it.
+  // Placement proposed during a switch; its own switch starts afterwards.
   std::optional<Placement> proposed;
-  uint64_t prepared_maps = 0;
+  uint64_t prepared_map_count = 0;
   Step granted_until = 0;
   uint64_t sequence = 0;
   std::vector<RankView> ranks;
 };
 
-// The owner of a group of `rank_count` ranks starts.
+// Starts the owner of a group of `rank_count` ranks.
 OwnerEffects StartOwner(MapOwner& owner,
                         std::string group,
                         size_t rank_count,
                         std::string holder,
                         TimePoint now);
 
-// Wants this placement in force. Starts a switch, or does so when the switch
-// under way is over; a later proposal replaces one that waits. Nothing is done
-// for the placement in force.
+// Requests a switch to this placement. The switch starts at once, or after the
+// one in progress; a later proposal replaces a pending one. Does nothing for
+// the placement in force.
 OwnerEffects ProposeMap(MapOwner& owner, Placement placement);
 
 OwnerEffects HandleLogRead(MapOwner& owner,
                            const Result<StoredLog>& stored,
                            TimePoint now);
 
-// A failure means that the swap may have taken place or may do so yet.
+// Handles the answer to a swap. After a failure the swap may have taken place
+// or may still do so.
 OwnerEffects HandleLogSwapped(MapOwner& owner, const Result<bool>& swapped);
 
 OwnerEffects HandleMapReport(MapOwner& owner,
                              const MapReport& report,
                              TimePoint now);
 
-// Sends every order again, retries the log, and looks for silent ranks.
+// Repeats all orders, retries the log and raises alarms for unresponsive ranks.
 OwnerEffects HandleOwnerTick(MapOwner& owner, TimePoint now);
 
-// Whether every rank has the last decision scheduled.
+// Whether every rank has scheduled the last decision.
 bool is_acknowledged(const MapOwner& owner);
 
 }  // namespace bramleyspan::expertmap
--- a/Libraries/LibExpertMap/MapRank.h
+++ b/Libraries/LibExpertMap/MapRank.h
@@ -1,5 +1,5 @@
-// The rank's side of a map switch, at the agent beside each engine: follows
-// the owner's orders and brings its engine nearer to them, one order at a time.
+// Rank side of a map switch, in the agent beside each engine: applies the
+// owner's orders to the engine, one engine order at a time.
 #pragma once
 
 #include <optional>
@@ -9,46 +9,49 @@
 
 namespace bramleyspan::expertmap {
 
-// What a rank's agent knows. It keeps nothing over a restart: what counts is
-// in the engine, and is read back before the first order.
+// State of a rank's agent. Nothing is kept over a restart: the relevant state
+// is in the engine and is read before the first order.
 struct MapRank {
   std::string group;
   Rank rank = 0;
-  // The newest order heard; its incarnation fences older owners off.
-  std::optional<MapOrder> wanted;
-  // What the engine holds, as of its last answer.
+  // The newest order received; its incarnation fences off older owners.
+  std::optional<MapOrder> latest_order;
+  // State of the engine, as of its last answer.
   std::optional<EngineStatus> engine;
-  // An order is under way; the next one waits for its end.
-  bool is_waiting = false;
+  // An engine order is in flight; the next one waits for its end.
+  bool is_order_in_flight = false;
   // The engine refused the last order.
   bool is_refused = false;
-  uint64_t stale_orders = 0;
+  uint64_t stale_order_count = 0;
 };
 
 // Effects that the caller performs.
 struct RankEffects {
   // Answered by HandleEngineStatus or HandleEngineLost.
   std::optional<EngineOrder> engine_order;
-  // To whoever owns the map.
+  // Sent to the owner of the map.
   std::optional<MapReport> report;
 };
 
-// The agent has started. Nothing but a read is sent before the engine has
-// answered one, since a predecessor may have changed it.
+// Starts the agent. Only reads are sent until the engine has answered one,
+// since a previous agent process may have changed it.
 RankEffects StartRank(MapRank& rank);
 
-// The owner wants something. Refused if it is not newer than what was heard.
+// Handles an order of the owner. It is rejected unless it is newer than all
+// orders received.
 RankEffects HandleMapOrder(MapRank& rank, MapOrder order);
 
-// The engine answered an order; `is_refused` if it did not obey.
+// Handles the engine's answer to an order; `is_refused` if the engine did not
+// apply it.
 RankEffects HandleEngineStatus(MapRank& rank,
                                EngineStatus status,
                                bool is_refused);
 
-// The engine's answer is lost, so it is not known whether it obeyed.
+// Handles a lost answer of the engine: it is unknown whether the order was
+// applied.
 RankEffects HandleEngineLost(MapRank& rank);
 
-// Reads the engine again if nothing is under way.
+// Reads the engine again if no order is in flight.
 RankEffects HandleRankTick(MapRank& rank);
 
 }  // namespace bramleyspan::expertmap
--- a/Libraries/LibExpertMap/Orders.h
+++ b/Libraries/LibExpertMap/Orders.h
@@ -1,6 +1,6 @@
-// What the map owner, the ranks' agents and the engines say to each other.
-// Each message carries the whole of what its sender wants or knows, so that
-// one that is lost, late or seen twice does no harm.
+// Messages between the map owner, the ranks' agents and the engines. Each
+// message carries the complete desired or current state of its sender, so that
+// lost, late and repeated messages do no harm.
 #pragma once
 
 #include <cstdint>
@@ -13,29 +13,31 @@
 
 namespace bramleyspan::expertmap {
 
-// What an owner wants of a rank.
+// State that an owner requests of a rank.
 struct MapOrder {
   std::string group;
-  // The owner's fencing number, from the key-value service.
+  // Incarnation of the owner, assigned through the key-value service; used as a
+  // fencing token.
   uint64_t incarnation = 0;
-  // Counts this owner's orders.
+  // Sequence number of this owner's orders.
   uint64_t sequence = 0;
-  // The last decision, and how far the group may run under it.
+  // The last decision, and the last step that the group may begin under it.
   std::optional<Decision> decision;
   Step granted_until = 0;
-  // The map whose weights are to be loaded beside those in use.
+  // Map whose weights are to be loaded in addition to those in use.
   std::optional<ExpertMap> next;
 };
 
-// What an engine holds, as it says itself.
+// State of an engine, as reported by itself.
 struct EngineStatus {
   // The last step begun.
   Step step = 0;
   Step granted_until = 0;
-  // The newest map scheduled (0: none) and the step from which it holds.
+  // Version of the newest scheduled map (0: none) and the step from which it
+  // holds.
   MapVersion version = 0;
   Step from_step = 0;
-  // The maps whose weights are held, and those being loaded.
+  // Maps whose weights are loaded, and those being loaded.
   std::set<MapVersion> loaded;
   std::set<MapVersion> loading;
 
@@ -46,7 +48,8 @@
 struct MapReport {
   std::string group;
   Rank rank = 0;
-  // The incarnation of the owner that this answers, and its order.
+  // Incarnation of the owner that this answers, and the sequence number of its
+  // order.
   uint64_t incarnation = 0;
   uint64_t sequence = 0;
   EngineStatus engine;
@@ -54,16 +57,16 @@
 
 // Orders to an engine. Each may be repeated or arrive late without harm.
 //
-// Starts to load a map's weights beside those in use.
+// Starts to load a map's weights in addition to those in use.
 struct LoadWeights {
   ExpertMap map;
 };
-// Files a map under the step from which it holds.
+// Schedules a map for the steps from `from_step` on.
 struct SetMap {
   MapVersion version = 0;
   Step from_step = 0;
 };
-// Lets the engine begin steps up to this one; never takes back.
+// Lets the engine begin steps up to `until`; never lowers an earlier grant.
 struct GrantSteps {
   Step until = 0;
 };
@@ -71,7 +74,7 @@
 struct DropWeights {
   MapVersion version = 0;
 };
-// Asks what the engine holds.
+// Requests the state of the engine.
 struct ReadStatus {};
 using EngineOrder =
     std::variant<ReadStatus, LoadWeights, SetMap, GrantSteps, DropWeights>;
--- a/Services/bramleyspand/Entry/Claims.cc
+++ b/Services/bramleyspand/Entry/Claims.cc
@@ -27,7 +27,7 @@
 }
 
 // Removes and returns an open request. A late reply of its agent then matches
-// no request, and keys that no caller has never run.
+// no request; the keys in it reach no caller and are never used.
 OpenClaimRequest RemoveRequest(EntryState& state, uint64_t request) {
   const auto found = state.claim_requests.find(request);
   OpenClaimRequest open = std::move(found->second);
--- a/Services/bramleyspand/Entry/Links.cc
+++ b/Services/bramleyspand/Entry/Links.cc
@@ -167,8 +167,8 @@
                                     const Error& error) {
     HandleClosed(state, *peer, connection, error);
   };
-  // From Hello on the link owns the connection; until then the timer below
-  // does.
+  // From Hello on the link owns the connection; until then the timer below owns
+  // it.
   auto connection = wire::Connection::Accept(socket, std::move(events));
   state.loop.RunAfter(std::chrono::seconds(5), [connection, peer] {
     if (peer->empty()) {
--- a/Tests/LibExpertMap/SimulatedGroup.cc
+++ b/Tests/LibExpertMap/SimulatedGroup.cc
@@ -45,7 +45,7 @@
 void SimulatedGroup::Perform(size_t rank, RankEffects effects) {
   SimulatedRank& simulated = this->ranks[rank];
   if (effects.engine_order) {
-    simulated.wire.push_back({*effects.engine_order, simulated.starts});
+    simulated.wire.push_back({*effects.engine_order, simulated.start_count});
   }
   if (effects.report) {
     this->reports.push_back(*effects.report);
@@ -56,18 +56,19 @@
   this->owner = MapOwner{};
   this->owner.window = this->window;
   this->Perform(StartOwner(this->owner, "g", this->ranks.size(),
-                           std::to_string(++this->owner_starts), this->now));
+                           std::to_string(++this->owner_start_count),
+                           this->now));
 }
 
-// Rank 0's agent and the owner are one process. What was sent to a process
-// dies with its connection; what it sent to its engine does not.
+// Rank 0's agent and the owner are one process. Messages to a process are lost
+// with its connections; orders that it sent to its engine are not.
 void SimulatedGroup::KillRank(size_t rank) {
   SimulatedRank& simulated = this->ranks[rank];
   simulated.agent = MapRank{};
   simulated.agent.group = "g";
   simulated.agent.rank = static_cast<Rank>(rank);
   simulated.is_frozen = false;
-  ++simulated.starts;
+  ++simulated.start_count;
   simulated.orders.clear();
   if (rank == 0) {
     this->reports.clear();
@@ -87,8 +88,8 @@
   this->Perform(rank, HandleMapOrder(simulated.agent, order));
 }
 
-bool SimulatedGroup::Obey(SimulatedEngine& engine,
-                          const EngineOrder& order) const {
+bool SimulatedGroup::ApplyOrder(SimulatedEngine& engine,
+                                const EngineOrder& order) const {
   EngineStatus& status = engine.status;
   if (const auto* load = std::get_if<LoadWeights>(&order)) {
     status.loaded.insert(load->map.version);
@@ -119,24 +120,24 @@
     return;
   }
   const WireOrder wire = simulated.wire.front();
-  const bool is_own = wire.sender == simulated.starts;
-  // A frozen agent's answer waits for it; its order has been obeyed already.
-  if (is_own && simulated.is_frozen) {
+  const bool is_own_order = wire.sender == simulated.start_count;
+  // The answer to a frozen agent is delivered when it resumes.
+  if (is_own_order && simulated.is_frozen) {
     return;
   }
   simulated.wire.pop_front();
-  const bool is_obeyed = this->Obey(simulated.engine, wire.order);
-  if (is_own) {
+  const bool is_applied = this->ApplyOrder(simulated.engine, wire.order);
+  if (is_own_order) {
     this->Perform(rank,
                   HandleEngineStatus(simulated.agent, simulated.engine.status,
-                                     !is_obeyed));
+                                     !is_applied));
   }
 }
 
-// The connection to the engine breaks. The order stays on the wire.
+// The connection to the engine breaks while the order is in flight.
 void SimulatedGroup::LoseAnswer(size_t rank) {
   SimulatedRank& simulated = this->ranks[rank];
-  if (simulated.is_frozen || !simulated.agent.is_waiting) {
+  if (simulated.is_frozen || !simulated.agent.is_order_in_flight) {
     return;
   }
   for (WireOrder& wire : simulated.wire) {
@@ -154,7 +155,8 @@
   this->Perform(HandleMapReport(this->owner, report, this->now));
 }
 
-// A rank begins a step by itself; it ends when all ranks have begun it.
+// A rank begins a step if it is granted and all ranks have begun the previous
+// one.
 void SimulatedGroup::BeginStep(size_t rank) {
   EngineStatus& status = this->ranks[rank].engine.status;
   const Step step = status.step + 1;
@@ -173,8 +175,8 @@
     return;
   }
   status.step = step;
-  this->ranks[rank].engine.record[step] = version;
-  const auto first = this->ran.emplace(step, version).first;
+  this->ranks[rank].engine.map_by_step[step] = version;
+  const auto first = this->first_map_by_step.emplace(step, version).first;
   this->is_split = this->is_split || first->second != version;
 }
 
@@ -204,45 +206,45 @@
       this->now));
 }
 
-void SimulatedGroup::Do(Happening happening, size_t rank) {
+void SimulatedGroup::Apply(EventKind event, size_t rank) {
   SimulatedRank& simulated = this->ranks[rank];
-  switch (happening) {
-    case Happening::kDeliverOrder:
+  switch (event) {
+    case EventKind::kDeliverOrder:
       return this->DeliverOrder(rank);
-    case Happening::kDeliverToEngine:
+    case EventKind::kDeliverToEngine:
       return this->DeliverToEngine(rank);
-    case Happening::kDeliverReport:
+    case EventKind::kDeliverReport:
       return this->DeliverReport();
-    case Happening::kBeginStep:
+    case EventKind::kBeginStep:
       return this->BeginStep(rank);
-    case Happening::kAnswerLog:
+    case EventKind::kAnswerLog:
       return this->AnswerLog(false);
-    case Happening::kLoseOrder:
+    case EventKind::kLoseOrder:
       return Lose(simulated.orders);
-    case Happening::kRepeatOrder:
+    case EventKind::kRepeatOrder:
       return Repeat(simulated.orders);
-    case Happening::kSwapOnWire:
-      // The order of a dead agent arrives after those of its successor.
+    case EventKind::kReorderOnWire:
+      // An order of a failed agent arrives after those of its successor.
       if (simulated.wire.size() > 1) {
         std::rotate(simulated.wire.begin(), simulated.wire.begin() + 1,
                     simulated.wire.end());
       }
       return;
-    case Happening::kLoseReport:
+    case EventKind::kLoseReport:
       return Lose(this->reports);
-    case Happening::kRepeatReport:
+    case EventKind::kRepeatReport:
       return Repeat(this->reports);
-    case Happening::kLoseLogReply:
+    case EventKind::kLoseLogReply:
       return this->AnswerLog(true);
-    case Happening::kFreeze:
+    case EventKind::kFreeze:
       simulated.is_frozen = true;
       return;
-    case Happening::kWake:
+    case EventKind::kResume:
       simulated.is_frozen = false;
       return;
-    case Happening::kKillRank:
+    case EventKind::kKillRank:
       return this->KillRank(rank);
-    case Happening::kTick:
+    case EventKind::kTick:
       this->now += kTickInterval;
       if (!this->ranks[0].is_frozen) {
         this->Perform(HandleOwnerTick(this->owner, this->now));
@@ -251,37 +253,37 @@
         this->Perform(rank, HandleRankTick(simulated.agent));
       }
       return;
-    case Happening::kLoseAnswer:
+    case EventKind::kLoseAnswer:
       return this->LoseAnswer(rank);
-    case Happening::kPropose:
-      ++this->proposals;
+    case EventKind::kPropose:
+      ++this->proposal_count;
       this->Perform(ProposeMap(
-          this->owner, PlaceRoundRobin(this->proposals, this->ranks.size(),
-                                       this->proposals)));
+          this->owner, PlaceRoundRobin(this->proposal_count, this->ranks.size(),
+                                       this->proposal_count)));
       return;
   }
 }
 
-void SimulatedGroup::Settle(int rounds) {
+void SimulatedGroup::RunWithoutFaults(int rounds) {
   for (SimulatedRank& rank : this->ranks) {
     rank.is_frozen = false;
   }
   for (int round = 0; round < rounds; ++round) {
     for (size_t rank = 0; rank < this->ranks.size(); ++rank) {
-      this->Do(Happening::kTick, rank);
+      this->Apply(EventKind::kTick, rank);
       while (!this->log_calls.empty()) {
-        this->Do(Happening::kAnswerLog, 0);
+        this->Apply(EventKind::kAnswerLog, 0);
       }
       while (!this->ranks[rank].orders.empty()) {
-        this->Do(Happening::kDeliverOrder, rank);
+        this->Apply(EventKind::kDeliverOrder, rank);
       }
       while (!this->ranks[rank].wire.empty()) {
-        this->Do(Happening::kDeliverToEngine, rank);
+        this->Apply(EventKind::kDeliverToEngine, rank);
       }
       while (!this->reports.empty()) {
-        this->Do(Happening::kDeliverReport, 0);
+        this->Apply(EventKind::kDeliverReport, 0);
       }
-      this->Do(Happening::kBeginStep, rank);
+      this->Apply(EventKind::kBeginStep, rank);
     }
   }
 }
--- a/Tests/LibExpertMap/SimulatedGroup.h
+++ b/Tests/LibExpertMap/SimulatedGroup.h
@@ -1,6 +1,6 @@
-// A rank group in virtual time around the very state machines of the daemon:
-// messages that are late, lost and seen twice, agents that freeze and die,
-// orders of dead agents that are still on the wire to their engine.
+// Simulates a rank group in virtual time with the daemon's own state machines:
+// messages are late, lost and repeated, agents freeze and fail, and orders of
+// failed agents are still in flight to their engine.
 #pragma once
 
 #include <cstdint>
@@ -14,18 +14,19 @@
 
 namespace bramleyspan::expertmap::tests {
 
-// An engine by the same rules as StandIns/EngineRank: it takes orders from
-// anyone, whatever their age, and ignores fencing numbers.
+// An engine that accepts orders from any sender, whatever their age, and
+// ignores fencing tokens.
 struct SimulatedEngine {
   EngineStatus status;
-  // The schedule: from which step on each map holds. An engine remembers the
-  // newest map and the one before it, no more.
+  // First step of each scheduled map. An engine retains only the newest map and
+  // the previous one.
   std::map<Step, MapVersion> schedule;
-  // Every step begun, with the map that was used.
-  std::map<Step, MapVersion> record;
+  // The map used in each step begun.
+  std::map<Step, MapVersion> map_by_step;
 };
 
-// An order on the wire; `sender` counts the starts of the rank's agent.
+// An order in flight to the engine; `sender` is the start count of the rank's
+// agent.
 struct WireOrder {
   EngineOrder order;
   uint64_t sender = 0;
@@ -33,15 +34,15 @@
 
 struct SimulatedRank {
   MapRank agent;
-  uint64_t starts = 0;
+  uint64_t start_count = 0;
   bool is_frozen = false;
   SimulatedEngine engine;
   std::deque<WireOrder> wire;
   std::deque<MapOrder> orders;
 };
 
-// What the generated interleavings do; one a step of the simulation.
-enum class Happening : uint8_t {
+// Events of the generated interleavings; one per step of the simulation.
+enum class EventKind : uint8_t {
   kDeliverOrder,
   kDeliverToEngine,
   kDeliverReport,
@@ -49,25 +50,25 @@
   kAnswerLog,
   kLoseOrder,
   kRepeatOrder,
-  kSwapOnWire,
+  kReorderOnWire,
   kLoseReport,
   kRepeatReport,
   kLoseLogReply,
   kFreeze,
-  kWake,
+  kResume,
   kKillRank,
   kTick,
   kPropose,
   kLoseAnswer,
 };
-inline constexpr size_t kHappenings = 17;
+inline constexpr size_t kEventKinds = 17;
 
 struct SimulatedGroup {
   explicit SimulatedGroup(size_t rank_count, Step window);
 
-  void Do(Happening happening, size_t rank);
-  // Serves everything without faults until nothing changes for a while.
-  void Settle(int rounds);
+  void Apply(EventKind event, size_t rank);
+  // Runs this many rounds without faults.
+  void RunWithoutFaults(int rounds);
 
   MapOwner owner;
   std::vector<SimulatedRank> ranks;
@@ -76,11 +77,11 @@
   StoredLog stored;
   TimePoint now{};
   Step window = 0;
-  uint64_t proposals = 0;
-  uint64_t owner_starts = 0;
-  // The map that the first rank to begin a step used; a different one later
-  // is the failure.
-  std::map<Step, MapVersion> ran;
+  uint64_t proposal_count = 0;
+  uint64_t owner_start_count = 0;
+  // The map that the first rank to begin a step used. A rank that uses another
+  // map in the same step sets `is_split`.
+  std::map<Step, MapVersion> first_map_by_step;
   bool is_split = false;
 
  private:
@@ -94,7 +95,7 @@
   void DeliverReport();
   void BeginStep(size_t rank);
   void AnswerLog(bool is_reply_lost);
-  bool Obey(SimulatedEngine& engine, const EngineOrder& order) const;
+  bool ApplyOrder(SimulatedEngine& engine, const EngineOrder& order) const;
 };
 
 }  // namespace bramleyspan::expertmap::tests
--- a/Tests/LibExpertMap/TestMapRank.cc
+++ b/Tests/LibExpertMap/TestMapRank.cc
@@ -10,8 +10,8 @@
 constexpr MapVersion kOldMap = 1;
 constexpr MapVersion kNewMap = 2;
 
-// A rank whose engine uses the old map, holds the new one too, and has been
-// granted ten steps.
+// Returns a rank whose engine uses the old map, has the new one loaded too, and
+// may begin steps up to 10.
 MapRank MakeRank() {
   MapRank rank{.group = "g", .rank = 1};
   rank.engine = EngineStatus{.step = 5,
@@ -32,10 +32,10 @@
 
 }  // namespace
 
-// Users get garbled answers: rank 1 missed the switch at step 11, hears of it
-// together with a grant up to step 20, and runs step 11 with the old experts
-// while rank 0 uses the new ones. The cause: the grant went first.
-TEST_CASE("a rank schedules the decided map before it passes on a grant") {
+// Rank 1 missed the switch at step 11 and receives it together with a grant up
+// to step 20. If the grant is sent first, rank 1 runs step 11 with the old
+// experts while rank 0 uses the new ones, and answers are garbled.
+TEST_CASE("a rank schedules the decided map before it forwards a grant") {
   MapRank rank = MakeRank();
   const RankEffects first = HandleMapOrder(rank, MakeOrder(1, kNewMap, 11));
   REQUIRE(first.engine_order.has_value());
@@ -48,39 +48,38 @@
   CHECK(std::holds_alternative<GrantSteps>(*second.engine_order));
 }
 
-// An owner was replaced while frozen. It wakes and sends its old order again:
-// the rank answers it and runs further under an owner that no longer decides.
-TEST_CASE("a rank refuses an owner with an older incarnation") {
+// An owner was replaced while frozen, resumes and repeats its old order. If the
+// rank accepted it, it would run further under an owner that no longer decides.
+TEST_CASE("a rank rejects an owner with an older incarnation") {
   MapRank rank = MakeRank();
   HandleMapOrder(rank, MakeOrder(2, kOldMap, 1));
   const RankEffects effects = HandleMapOrder(rank, MakeOrder(1, kOldMap, 1));
   CHECK_FALSE(effects.report.has_value());
-  CHECK(rank.stale_orders == 1);
-  CHECK(rank.wanted->incarnation == 2);
+  CHECK(rank.stale_order_count == 1);
+  CHECK(rank.latest_order->incarnation == 2);
 }
 
-// The connection to the engine breaks after an order was sent, so it may have
-// been obeyed. An agent that trusts what it knew before tells the owner an old
-// state as if it were the present one.
-TEST_CASE(
-    "a rank reads its engine back after a lost answer and after a start") {
+// The connection to the engine breaks after an order was sent, so the order may
+// have been applied. An agent that relies on its earlier state would report an
+// outdated state as the current one.
+TEST_CASE("a rank reads its engine again after a lost answer and a start") {
   MapRank rank = MakeRank();
   HandleMapOrder(rank, MakeOrder(1, kNewMap, 11));
   HandleEngineLost(rank);
-  MapOrder again = MakeOrder(1, kNewMap, 11);
-  again.sequence = 2;
-  const RankEffects effects = HandleMapOrder(rank, again);
+  MapOrder repeated = MakeOrder(1, kNewMap, 11);
+  repeated.sequence = 2;
+  const RankEffects effects = HandleMapOrder(rank, repeated);
   CHECK_FALSE(effects.report.has_value());
   REQUIRE(effects.engine_order.has_value());
   CHECK(std::holds_alternative<ReadStatus>(*effects.engine_order));
-  MapRank fresh{.group = "g"};
-  CHECK(std::holds_alternative<ReadStatus>(*StartRank(fresh).engine_order));
+  MapRank started{.group = "g"};
+  CHECK(std::holds_alternative<ReadStatus>(*StartRank(started).engine_order));
 }
 
-// Rank 0's agent logs a switch, orders its own engine to make it, and dies.
-// Its successor reads the engine back before that order has arrived. Had it
-// only the engines to ask, it would let rank 1 run on with the old map.
-TEST_CASE("a new owner carries on with the decision in the log") {
+// Rank 0's agent logs a switch, orders its own engine to make it, and fails.
+// Its successor reads the engine before that order has arrived. Without the log
+// it would let rank 1 continue with the old map.
+TEST_CASE("a new owner continues with the decision in the log") {
   const DecisionLog log{7, "dead", Decision{{kNewMap, {}}, 11}};
   MapOwner owner;
   StartOwner(owner, "g", 2, "new", TimePoint{});
@@ -95,8 +94,8 @@
   CHECK(order.decision == log.decision);
 }
 
-// An owner frozen for a while decides a switch of its own although another
-// process took over: the swap fails, and it must stop for good.
+// An owner was frozen while another process took over, and then decides a
+// switch. Its swap fails, and it must stop for good.
 TEST_CASE("an owner that finds a successor in the log stops") {
   MapOwner owner;
   StartOwner(owner, "g", 1, "old", TimePoint{});
