--- a/Services/bramleyspand/Entry/CatalogueChanges.cc
+++ b/Services/bramleyspand/Entry/CatalogueChanges.cc
@@ -188,9 +188,10 @@
   }
 };
 
-// Whether this process has read no VM list or received no peer's revision. It
-// cannot tell then whether the key-value service lost changes that others have
-// in force; a commit on an older state would be a fork.
+// Whether this process has read no VM list, or the list has other VMs and none
+// of them has sent its revision. It cannot tell then whether the key-value
+// service lost changes that others have in force; a commit on an older state
+// would be a fork.
 bool is_isolated(const EntryState& state) {
   const bool has_others = state.vms.size() > 1;
   const bool has_peer_revision = std::ranges::any_of(
--- a/Tests/LibCatalogue/TestCatalogueProperties.cc
+++ b/Tests/LibCatalogue/TestCatalogueProperties.cc
@@ -54,7 +54,8 @@
 };
 
 struct Simulation {
-  // Whether only few messages pass between the two halves of the processes.
+  // Whether only few messages pass between the first and the second half of the
+  // processes.
   bool has_partitions = false;
   Store store;
   std::array<Follower, kProcesses> processes;
