--- a/Kernel/Datagrams.cc
+++ b/Kernel/Datagrams.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr size_t kLargestDatagram = 65536;
+constexpr size_t kMaxDatagramBytes = 65536;
 
 }  // namespace
 
@@ -42,7 +42,7 @@
 }
 
 void Datagrams::Receive() {
-  std::array<char, kLargestDatagram> buffer;
+  std::array<char, kMaxDatagramBytes> buffer;
   const int descriptor = h2o_socket_get_fd(this->socket);
   while (true) {
     sockaddr_in from{};
--- a/Kernel/Digest.cc
+++ b/Kernel/Digest.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr size_t kAuthenticationBytes = 16;
+constexpr size_t kAuthenticationCodeBytes = 16;
 
 // The kernel's random numbers and nothing else: a generator that also stirs in
 // the processor's own source or its cycle count would make two runs of one
@@ -55,7 +55,7 @@
   HMAC(EVP_sha256(), secret.data(), static_cast<int>(secret.size()),
        reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size(),
        digest.data(), &length);
-  return ToHex(digest.data(), kAuthenticationBytes);
+  return ToHex(digest.data(), kAuthenticationCodeBytes);
 }
 
 bool is_equal_in_constant_time(std::string_view left, std::string_view right) {
--- a/Kernel/EventLoop.cc
+++ b/Kernel/EventLoop.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr int32_t kLongestWaitInMilliseconds = 1000;
+constexpr int32_t kMaxWaitMilliseconds = 1000;
 
 }  // namespace
 
@@ -108,13 +108,13 @@
 
 int32_t EventLoop::MillisecondsToNextTimer() const {
   if (this->timers.empty()) {
-    return kLongestWaitInMilliseconds;
+    return kMaxWaitMilliseconds;
   }
   const auto wait = this->timers.begin()->first.first - Now();
   const auto rounded_up =
       std::chrono::ceil<std::chrono::milliseconds>(wait).count();
   return static_cast<int32_t>(
-      std::clamp<int64_t>(rounded_up, 0, kLongestWaitInMilliseconds));
+      std::clamp<int64_t>(rounded_up, 0, kMaxWaitMilliseconds));
 }
 
 Timers TimersOf(EventLoop& loop) {
--- a/Libraries/LibCalls/AgentCalls.cc
+++ b/Libraries/LibCalls/AgentCalls.cc
@@ -47,7 +47,7 @@
   forwarded.recipient = request.from;
   forwarded.first_byte_by = now + request.remaining;
   forwarded.started = now;
-  forwarded.last_heard = now;
+  forwarded.last_received = now;
   calls.forwarded.emplace(id, std::move(forwarded));
   if (!request.claim.empty()) {
     calls.forward_of_claim[request.claim] = id;
@@ -57,7 +57,9 @@
 
 // A caller that gave up and asked again, perhaps through another entry, gets
 // the answer of the first attempt instead of an "unknown".
-Effects Attach(AgentCalls& calls, const CallRequest& request, TimePoint now) {
+Effects AddWaiter(AgentCalls& calls,
+                  const CallRequest& request,
+                  TimePoint now) {
   const auto running = calls.forward_of_claim.find(request.claim);
   if (running == calls.forward_of_claim.end()) {
     return {EndStillRunning(calls, request.from)};
@@ -85,7 +87,7 @@
       }
       return Forward(calls, request, now);
     case ClaimDecision::kIsRunning:
-      return Attach(calls, request, now);
+      return AddWaiter(calls, request, now);
     case ClaimDecision::kIsDone:
       return SendStoredAnswer(
           from, claims::FindClaim(calls.claims, request.claim)->answer);
@@ -207,12 +209,13 @@
 }
 
 template <typename Predicate>
-Effects DropRecipientsIf(AgentCalls& calls, Predicate is_gone) {
+Effects DropRecipientsIf(AgentCalls& calls, Predicate is_disconnected) {
   std::vector<uint64_t> dropped;
   for (auto& [id, forwarded] : calls.forwarded) {
-    std::erase_if(forwarded.waiters,
-                  [&](const Waiter& waiter) { return is_gone(waiter.to); });
-    if (forwarded.recipient && is_gone(*forwarded.recipient)) {
+    std::erase_if(forwarded.waiters, [&](const Waiter& waiter) {
+      return is_disconnected(waiter.to);
+    });
+    if (forwarded.recipient && is_disconnected(*forwarded.recipient)) {
       dropped.push_back(id);
     }
   }
@@ -238,16 +241,16 @@
 }
 
 // When a back end that keeps silent loses the call.
-TimePoint GivenUpAt(const AgentCalls& calls, const ForwardedCall& forwarded) {
+TimePoint TimeoutOf(const AgentCalls& calls, const ForwardedCall& forwarded) {
   if (forwarded.has_head) {
-    return forwarded.last_heard + calls.settings.longest_silence;
+    return forwarded.last_received + calls.settings.max_answer_gap;
   }
   return forwarded.claim.empty()
              ? forwarded.first_byte_by
-             : forwarded.started + calls.settings.longest_run;
+             : forwarded.started + calls.settings.max_run_time;
 }
 
-bool is_late(const ForwardedCall& forwarded, TimePoint now) {
+bool is_overdue(const ForwardedCall& forwarded, TimePoint now) {
   return !forwarded.has_head && forwarded.recipient &&
          forwarded.first_byte_by <= now;
 }
@@ -257,14 +260,14 @@
 Effects CheckDeadline(AgentCalls& calls, uint64_t id, TimePoint now) {
   ForwardedCall& forwarded = calls.forwarded.at(id);
   Effects effects = EndExpiredWaiters(calls, forwarded, now);
-  if (GivenUpAt(calls, forwarded) <= now) {
+  if (TimeoutOf(calls, forwarded) <= now) {
     const Ending ending{
         forwarded.has_head ? Verdict::kTruncated : Verdict::kUnknown,
         ErrorCode::kTimeout, "the back end keeps silent",
         calls.settings.retry_after};
     Append(effects, EndForward(calls, id, ending));
     effects.emplace_back(CancelForward{id});
-  } else if (is_late(forwarded, now)) {
+  } else if (is_overdue(forwarded, now)) {
     effects.emplace_back(EndStillRunning(calls, *forwarded.recipient));
     forwarded.recipient.reset();
   }
@@ -309,7 +312,7 @@
   ForwardedCall& forwarded = found->second;
   forwarded.has_head = true;
   forwarded.is_framed = head.is_framed;
-  forwarded.last_heard = now;
+  forwarded.last_received = now;
   forwarded.answer.status = head.status;
   forwarded.answer.content_type = head.content_type;
   if (!forwarded.recipient) {
@@ -327,7 +330,7 @@
     return {};
   }
   ForwardedCall& forwarded = found->second;
-  forwarded.last_heard = now;
+  forwarded.last_received = now;
   forwarded.tail.append(bytes);
   if (forwarded.tail.size() > kTailBytes) {
     forwarded.tail.erase(0, forwarded.tail.size() - kTailBytes);
@@ -370,7 +373,7 @@
       calls, [&](const Recipient& other) { return other == recipient; });
 }
 
-Effects LoseConnection(AgentCalls& calls, uint64_t connection) {
+Effects HandleConnectionClosed(AgentCalls& calls, uint64_t connection) {
   return DropRecipientsIf(calls, [&](const Recipient& other) {
     return other.connection == connection;
   });
@@ -384,7 +387,7 @@
   return effects;
 }
 
-Effects CutAll(AgentCalls& calls) {
+Effects AbortAll(AgentCalls& calls) {
   Effects effects;
   for (const uint64_t id : IdsOf(calls)) {
     const bool has_head = calls.forwarded.at(id).has_head;
--- a/Libraries/LibCalls/AgentCalls.h
+++ b/Libraries/LibCalls/AgentCalls.h
@@ -98,7 +98,7 @@
   std::vector<Waiter> waiters;
   TimePoint first_byte_by;
   TimePoint started;
-  TimePoint last_heard;
+  TimePoint last_received;
   bool is_chat = false;
   bool has_head = false;
   bool is_framed = true;
@@ -111,9 +111,9 @@
   // When a refused caller should come back.
   Duration retry_after = std::chrono::seconds(1);
   // A started answer that brings nothing for so long is given up.
-  Duration longest_silence = std::chrono::seconds(60);
+  Duration max_answer_gap = std::chrono::seconds(60);
   // An at-most-once call without an answer is given up after this.
-  Duration longest_run = std::chrono::minutes(30);
+  Duration max_run_time = std::chrono::minutes(30);
 };
 
 struct AgentCalls {
@@ -162,12 +162,12 @@
 Effects CancelCall(AgentCalls& calls, const Recipient& recipient);
 
 // The connection to an entry is gone with all its callers.
-Effects LoseConnection(AgentCalls& calls, uint64_t connection);
+Effects HandleConnectionClosed(AgentCalls& calls, uint64_t connection);
 
 // Ends what has waited too long.
 Effects CheckDeadlines(AgentCalls& calls, TimePoint now);
 
 // The bound of a planned stop has come: ends all that is still running.
-Effects CutAll(AgentCalls& calls);
+Effects AbortAll(AgentCalls& calls);
 
 }  // namespace bramleyspan::calls
--- a/Libraries/LibCalls/Retry.cc
+++ b/Libraries/LibCalls/Retry.cc
@@ -6,13 +6,13 @@
 
 // A call that may not be repeated belongs to the one agent that its key names;
 // sent anywhere else it could run twice.
-bool is_worth_a_retry(const RetryPolicy& policy,
+bool is_retry_allowed(const RetryPolicy& policy,
                       const Attempt& attempt,
                       const Ending& ending) {
-  const bool is_passing = ending.retry_after > Duration(0);
-  return attempt.is_repeatable && is_passing &&
-         attempt.attempts < policy.most_attempts &&
-         attempt.remaining >= policy.least_remaining;
+  const bool is_transient = ending.retry_after > Duration(0);
+  return attempt.is_repeatable && is_transient &&
+         attempt.attempts < policy.max_attempts &&
+         attempt.remaining >= policy.min_remaining;
 }
 
 }  // namespace
@@ -26,15 +26,15 @@
   }
   // A second answer after the head of a first would be two in one.
   if (attempt.has_head) {
-    return NextStep::kBreakOff;
+    return NextStep::kTruncate;
   }
-  if (is_worth_a_retry(policy, attempt, ending) && take_retry()) {
+  if (is_retry_allowed(policy, attempt, ending) && take_retry()) {
     return NextStep::kRetry;
   }
   return NextStep::kRefuse;
 }
 
-Verdict VerdictOverAll(const Attempt& attempt, Verdict last) {
+Verdict CombinedVerdict(const Attempt& attempt, Verdict last) {
   const bool is_not_run = last == Verdict::kNotRun && !attempt.may_have_run;
   return is_not_run ? Verdict::kNotRun : Verdict::kUnknown;
 }
--- a/Libraries/LibCalls/Retry.h
+++ b/Libraries/LibCalls/Retry.h
@@ -9,9 +9,9 @@
 namespace bramleyspan::calls {
 
 struct RetryPolicy {
-  uint32_t most_attempts = 3;
+  uint32_t max_attempts = 3;
   // With less time left no other target could answer.
-  Duration least_remaining = std::chrono::milliseconds(50);
+  Duration min_remaining = std::chrono::milliseconds(50);
 };
 
 // A call at the end of an attempt.
@@ -31,7 +31,7 @@
   // End the caller's answer as whole.
   kFinish,
   // Break the caller's answer off, so that it shows as truncated.
-  kBreakOff,
+  kTruncate,
   // Send the call to another target.
   kRetry,
   // Tell the caller how the call ended.
@@ -49,6 +49,6 @@
 
 // The verdict over all attempts, given that of the last. A last attempt that
 // did not run says nothing of an earlier one that ended unknown.
-Verdict VerdictOverAll(const Attempt& attempt, Verdict last);
+Verdict CombinedVerdict(const Attempt& attempt, Verdict last);
 
 }  // namespace bramleyspan::calls
--- a/Libraries/LibHTTP/DirectCall.cc
+++ b/Libraries/LibHTTP/DirectCall.cc
@@ -9,17 +9,17 @@
 
 namespace {
 
-constexpr size_t kLargestAnswerHead = 65536;
+constexpr size_t kMaxAnswerHeadBytes = 65536;
 
 }  // namespace
 
-KeptChannels::~KeptChannels() {
-  for (auto& [target, kept] : this->idle) {
-    h2o_socket_close(kept->socket);
+ConnectionPool::~ConnectionPool() {
+  for (auto& [target, idle_connection] : this->idle) {
+    h2o_socket_close(idle_connection->socket);
   }
 }
 
-h2o_socket_t* KeptChannels::Take(const Address& target) {
+h2o_socket_t* ConnectionPool::Take(const Address& target) {
   const auto found = this->idle.find(target);
   if (found == this->idle.end()) {
     return nullptr;
@@ -30,18 +30,19 @@
   return socket;
 }
 
-void KeptChannels::Keep(const Address& target, h2o_socket_t* socket) {
-  auto kept = std::make_unique<Idle>(Idle{this, target, socket});
-  socket->data = kept.get();
-  this->idle.emplace(target, std::move(kept));
+void ConnectionPool::Add(const Address& target, h2o_socket_t* socket) {
+  auto idle_connection =
+      std::make_unique<IdleConnection>(IdleConnection{this, target, socket});
+  socket->data = idle_connection.get();
+  this->idle.emplace(target, std::move(idle_connection));
   // Whatever comes now, an end or bytes of no request, ends the connection.
   h2o_socket_read_start(socket, [](h2o_socket_t* source, const char*) {
-    auto* idle = static_cast<Idle*>(source->data);
+    auto* idle = static_cast<IdleConnection*>(source->data);
     idle->owner->Drop(idle);
   });
 }
 
-void KeptChannels::Drop(Idle* idle) {
+void ConnectionPool::Drop(IdleConnection* idle) {
   h2o_socket_close(idle->socket);
   std::erase_if(this->idle,
                 [idle](const auto& item) { return item.second.get() == idle; });
@@ -105,8 +106,9 @@
     bytes +=
         "content-length: " + std::to_string(this->request.body.size()) + "\r\n";
   }
-  bytes +=
-      this->request.channels == nullptr ? "connection: close\r\n\r\n" : "\r\n";
+  bytes += this->request.connection_pool == nullptr
+               ? "connection: close\r\n\r\n"
+               : "\r\n";
   return bytes + this->request.body;
 }
 
@@ -122,8 +124,8 @@
     auto keep_until_return = this->shared_from_this();
     this->End(this->is_connected ? CallEnd::kTimeout : CallEnd::kNotSent);
   });
-  if (this->request.channels != nullptr) {
-    this->socket = this->request.channels->Take(this->request.target);
+  if (this->request.connection_pool != nullptr) {
+    this->socket = this->request.connection_pool->Take(this->request.target);
     if (this->socket != nullptr) {
       this->socket->data = this;
       this->HandleConnected(nullptr);
@@ -204,7 +206,7 @@
       return;
     }
     if (!parsed.value()) {
-      if (this->input.size() > kLargestAnswerHead) {
+      if (this->input.size() > kMaxAnswerHeadBytes) {
         this->End(CallEnd::kMalformed);
       }
       return;
@@ -214,16 +216,16 @@
     if (head.status < kFirstFinalStatus) {
       continue;
     }
-    const auto shape = ShapeOfAnswer(head, this->request.method);
-    if (shape.has_error()) {
+    const auto message_framing = FramingOfAnswer(head, this->request.method);
+    if (message_framing.has_error()) {
       this->End(CallEnd::kMalformed);
       return;
     }
     this->has_head = true;
-    this->is_kept_open = is_kept(head.headers, head.minor_version);
-    this->reader = BodyReader(shape.value());
+    this->is_reusable = is_persistent(head.headers, head.minor_version);
+    this->reader = BodyReader(message_framing.value());
     if (this->events.on_head) {
-      this->events.on_head(head, shape.value().framing);
+      this->events.on_head(head, message_framing.value().framing);
     }
     return;
   }
@@ -231,12 +233,12 @@
 
 void DirectCall::ReadBody() {
   std::string body;
-  const auto taken = this->reader.Read(this->input, body);
-  if (taken.has_error()) {
+  const auto consumed = this->reader.Read(this->input, body);
+  if (consumed.has_error()) {
     this->End(CallEnd::kMalformed);
     return;
   }
-  this->input.erase(0, taken.value());
+  this->input.erase(0, consumed.value());
   if (!body.empty() && this->events.on_bytes) {
     this->events.on_bytes(body);
   }
@@ -266,14 +268,14 @@
     return;
   }
   auto on_end = std::move(this->events.on_end);
-  const bool may_keep = end == CallEnd::kWhole && this->is_kept_open &&
-                        this->input.empty() &&
-                        this->request.channels != nullptr &&
-                        h2o_socket_is_writing(this->socket) == 0;
-  if (may_keep) {
+  const bool may_reuse = end == CallEnd::kWhole && this->is_reusable &&
+                         this->input.empty() &&
+                         this->request.connection_pool != nullptr &&
+                         h2o_socket_is_writing(this->socket) == 0;
+  if (may_reuse) {
     h2o_socket_read_stop(this->socket);
-    this->request.channels->Keep(this->request.target,
-                                 std::exchange(this->socket, nullptr));
+    this->request.connection_pool->Add(this->request.target,
+                                       std::exchange(this->socket, nullptr));
   }
   this->Release();
   if (on_end) {
--- a/Libraries/LibHTTP/DirectCall.h
+++ b/Libraries/LibHTTP/DirectCall.h
@@ -17,28 +17,28 @@
 
 // Connections that were left open after a whole answer. Only for requests that
 // may be repeated, to a server that is trusted to answer one for one.
-class KeptChannels {
+class ConnectionPool {
  public:
-  KeptChannels() = default;
-  ~KeptChannels();
-  KeptChannels(const KeptChannels&) = delete;
-  KeptChannels& operator=(const KeptChannels&) = delete;
+  ConnectionPool() = default;
+  ~ConnectionPool();
+  ConnectionPool(const ConnectionPool&) = delete;
+  ConnectionPool& operator=(const ConnectionPool&) = delete;
 
   // An open connection; null if there is none.
   h2o_socket_t* Take(const Address& target);
 
   // Keeps a connection that carries nothing.
-  void Keep(const Address& target, h2o_socket_t* socket);
+  void Add(const Address& target, h2o_socket_t* socket);
 
  private:
-  struct Idle {
-    KeptChannels* owner;
+  struct IdleConnection {
+    ConnectionPool* owner;
     Address target;
     h2o_socket_t* socket;
   };
-  void Drop(Idle* idle);
+  void Drop(IdleConnection* idle);
 
-  std::multimap<Address, std::unique_ptr<Idle>> idle;
+  std::multimap<Address, std::unique_ptr<IdleConnection>> idle;
 };
 
 struct DirectRequest {
@@ -53,7 +53,7 @@
   // From the start to the answer's end.
   Duration timeout = std::chrono::seconds(5);
   // Where a kept connection may be found and left; null for a fresh one.
-  KeptChannels* channels = nullptr;
+  ConnectionPool* connection_pool = nullptr;
 };
 
 // How a call ended.
@@ -119,7 +119,7 @@
   std::string input;
   bool is_connected = false;
   bool has_head = false;
-  bool is_kept_open = false;
+  bool is_reusable = false;
   bool is_ended = false;
   BodyReader reader;
   TimerId timer = 0;
--- a/Libraries/LibHTTP/Ingress.h
+++ b/Libraries/LibHTTP/Ingress.h
@@ -19,12 +19,12 @@
 
 // Bounds of what callers may send and how long they may take.
 struct IngressLimits {
-  size_t largest_head = 16384;
-  size_t largest_body = 4 << 20;
+  size_t max_head_bytes = 16384;
+  size_t max_body_bytes = 4 << 20;
   Duration head_timeout = std::chrono::seconds(3);
   Duration idle_timeout = std::chrono::seconds(15);
   // Bytes of an answer that may wait for a caller that reads slowly.
-  size_t most_pending_bytes = 1 << 20;
+  size_t max_pending_bytes = 1 << 20;
 };
 
 // One request as it came, with its whole body.
@@ -57,8 +57,8 @@
   void Abort();
 
   // Calls `callback` if the caller leaves before the answer has ended.
-  void OnGone(std::function<void()> callback) {
-    this->gone_callback = std::move(callback);
+  void OnDisconnect(std::function<void()> callback) {
+    this->disconnect_callback = std::move(callback);
   }
 
   bool is_closed() const { return this->connection == nullptr; }
@@ -67,7 +67,7 @@
   friend class IngressConnection;
 
   IngressConnection* connection = nullptr;
-  std::function<void()> gone_callback;
+  std::function<void()> disconnect_callback;
   bool is_streaming = false;
   bool is_chunked = true;
 };
--- a/Libraries/LibHTTP/IngressConnection.cc
+++ b/Libraries/LibHTTP/IngressConnection.cc
@@ -16,7 +16,7 @@
 constexpr int kPayloadTooLarge = 413;
 constexpr int kHeadersTooLarge = 431;
 // Bytes of further requests that are kept while an answer is pending.
-constexpr size_t kMostPipelinedBytes = 1 << 16;
+constexpr size_t kMaxPipelinedBytes = 1 << 16;
 // How long a closing connection waits for the caller to read its answer.
 constexpr Duration kLingerTime = std::chrono::seconds(1);
 // Callers keep idle connections for up to four fifths of the limit; a close
@@ -93,7 +93,7 @@
   this->server.connections.erase(keep_until_return);
   if (auto open = std::exchange(this->exchange, nullptr)) {
     open->connection = nullptr;
-    auto callback = std::exchange(open->gone_callback, nullptr);
+    auto callback = std::exchange(open->disconnect_callback, nullptr);
     if (callback && !this->is_answered) {
       callback();
     }
@@ -144,7 +144,7 @@
   this->input.append(received->bytes, received->size);
   h2o_buffer_consume(&this->socket->input, received->size);
   if (this->phase == Phase::kAnswer) {
-    if (this->input.size() > kMostPipelinedBytes) {
+    if (this->input.size() > kMaxPipelinedBytes) {
       h2o_socket_read_stop(this->socket);
     }
     return;
@@ -175,27 +175,27 @@
     return;
   }
   if (!parsed.value()) {
-    if (this->input.size() > this->server.limits.largest_head) {
+    if (this->input.size() > this->server.limits.max_head_bytes) {
       this->Refuse(kHeadersTooLarge);
     }
     return;
   }
   this->head = std::move(parsed.value());
-  if (this->head->bytes > this->server.limits.largest_head) {
+  if (this->head->bytes > this->server.limits.max_head_bytes) {
     this->Refuse(kHeadersTooLarge);
     return;
   }
-  const auto shape = ShapeOfRequest(*this->head);
-  if (shape.has_error()) {
+  const auto message_framing = FramingOfRequest(*this->head);
+  if (message_framing.has_error()) {
     this->Refuse(kBadRequest);
     return;
   }
-  if (shape.value().length > this->server.limits.largest_body) {
+  if (message_framing.value().length > this->server.limits.max_body_bytes) {
     this->Refuse(kPayloadTooLarge);
     return;
   }
   this->input.erase(0, this->head->bytes);
-  this->body_reader = BodyReader(shape.value());
+  this->body_reader = BodyReader(message_framing.value());
   this->body.clear();
   this->phase = Phase::kBody;
   this->since = EventLoop::Now();
@@ -206,26 +206,27 @@
 }
 
 void IngressConnection::ReadBody() {
-  const auto taken = this->body_reader.Read(this->input, this->body);
-  if (taken.has_error()) {
+  const auto consumed = this->body_reader.Read(this->input, this->body);
+  if (consumed.has_error()) {
     this->Refuse(kBadRequest);
     return;
   }
-  this->input.erase(0, taken.value());
-  if (this->body.size() > this->server.limits.largest_body) {
+  this->input.erase(0, consumed.value());
+  if (this->body.size() > this->server.limits.max_body_bytes) {
     this->Refuse(kPayloadTooLarge);
     return;
   }
   if (this->body_reader.is_whole()) {
-    this->HandOver();
+    this->DispatchRequest();
   }
 }
 
-void IngressConnection::HandOver() {
+void IngressConnection::DispatchRequest() {
   this->phase = Phase::kAnswer;
   this->since = EventLoop::Now();
   this->is_answered = false;
-  this->is_last = !is_kept(this->head->headers, this->head->minor_version);
+  this->is_last =
+      !is_persistent(this->head->headers, this->head->minor_version);
   this->exchange = std::make_shared<IngressExchange>();
   this->exchange->connection = this;
   this->exchange->is_chunked = this->head->minor_version > 0;
@@ -343,7 +344,7 @@
   auto keep_until_return = this->connection->shared_from_this();
   IngressConnection& channel = *this->connection;
   channel.is_last = channel.is_last || channel.server.is_draining;
-  this->gone_callback = nullptr;
+  this->disconnect_callback = nullptr;
   this->connection = nullptr;
   channel.exchange = nullptr;
   channel.is_answered = true;
@@ -379,7 +380,7 @@
   }
   // A caller that reads slower than the engine writes would otherwise fill
   // the memory of the process; its own answer is cut instead.
-  if (channel.outgoing.size() > channel.server.limits.most_pending_bytes) {
+  if (channel.outgoing.size() > channel.server.limits.max_pending_bytes) {
     channel.Close();
   }
 }
@@ -390,7 +391,7 @@
   }
   auto keep_until_return = this->connection->shared_from_this();
   IngressConnection& channel = *this->connection;
-  this->gone_callback = nullptr;
+  this->disconnect_callback = nullptr;
   this->connection = nullptr;
   channel.exchange = nullptr;
   channel.is_last = channel.is_last || channel.server.is_draining;
@@ -406,7 +407,7 @@
   if (this->is_closed()) {
     return;
   }
-  this->gone_callback = nullptr;
+  this->disconnect_callback = nullptr;
   // Without chunks only a reset tells a broken answer from a whole one.
   if (!this->is_chunked) {
     const linger reset{.l_onoff = 1, .l_linger = 0};
--- a/Libraries/LibHTTP/IngressConnection.h
+++ b/Libraries/LibHTTP/IngressConnection.h
@@ -32,7 +32,7 @@
   void ReadMore();
   void ReadHead();
   void ReadBody();
-  void HandOver();
+  void DispatchRequest();
   void Refuse(int status);
   void Send(std::string_view bytes);
   void Flush();
--- a/Libraries/LibHTTP/Parser.cc
+++ b/Libraries/LibHTTP/Parser.cc
@@ -52,10 +52,10 @@
 
 namespace {
 
-constexpr size_t kMostHeaders = 100;
+constexpr size_t kMaxHeaders = 100;
 constexpr int kIncomplete = -2;
 
-using RawHeaders = std::array<phr_header, kMostHeaders>;
+using RawHeaders = std::array<phr_header, kMaxHeaders>;
 
 bool is_equal_ignoring_case(std::string_view left, std::string_view right) {
   return left.size() == right.size() &&
@@ -201,7 +201,7 @@
   return std::optional<AnswerHead>(std::move(head));
 }
 
-Result<BodyShape> ShapeOfRequest(const RequestHead& head) {
+Result<MessageFraming> FramingOfRequest(const RequestHead& head) {
   const LengthHeaders length = FindLength(head.headers);
   const TransferCoding coding = FindTransferCoding(head.headers);
   if (!length.is_valid || (coding.is_present && length.is_present) ||
@@ -210,16 +210,17 @@
                 "its length is told in contradictory ways");
   }
   if (coding.is_chunked) {
-    return BodyShape{.framing = BodyFraming::kChunked};
+    return MessageFraming{.framing = BodyFraming::kChunked};
   }
   if (length.is_present && length.length > 0) {
-    return BodyShape{.framing = BodyFraming::kLength, .length = length.length};
+    return MessageFraming{.framing = BodyFraming::kLength,
+                          .length = length.length};
   }
-  return BodyShape{};
+  return MessageFraming{};
 }
 
-Result<BodyShape> ShapeOfAnswer(const AnswerHead& head,
-                                std::string_view method) {
+Result<MessageFraming> FramingOfAnswer(const AnswerHead& head,
+                                       std::string_view method) {
   constexpr int kNoContent = 204;
   constexpr int kNotModified = 304;
   const LengthHeaders length = FindLength(head.headers);
@@ -231,20 +232,20 @@
   }
   if (method == "HEAD" || head.status == kNoContent ||
       head.status == kNotModified) {
-    return BodyShape{};
+    return MessageFraming{};
   }
   if (coding.is_chunked) {
-    return BodyShape{.framing = BodyFraming::kChunked};
+    return MessageFraming{.framing = BodyFraming::kChunked};
   }
   if (length.is_present) {
-    return BodyShape{.framing = length.length == 0 ? BodyFraming::kNone
-                                                   : BodyFraming::kLength,
-                     .length = length.length};
+    return MessageFraming{.framing = length.length == 0 ? BodyFraming::kNone
+                                                        : BodyFraming::kLength,
+                          .length = length.length};
   }
-  return BodyShape{.framing = BodyFraming::kUntilClose};
+  return MessageFraming{.framing = BodyFraming::kUntilClose};
 }
 
-bool is_kept(const HeaderList& headers, int minor_version) {
+bool is_persistent(const HeaderList& headers, int minor_version) {
   bool is_closed = minor_version == 0;
   for (const auto& [name, value] : headers) {
     if (name != "connection") {
@@ -260,27 +261,28 @@
   return !is_closed;
 }
 
-BodyReader::BodyReader(BodyShape shape)
-    : shape(shape),
-      missing(shape.length),
-      is_complete(shape.framing == BodyFraming::kNone) {}
+BodyReader::BodyReader(MessageFraming message_framing)
+    : message_framing(message_framing),
+      remaining_bytes(message_framing.length),
+      is_complete(message_framing.framing == BodyFraming::kNone) {}
 
 Result<size_t> BodyReader::Read(std::string_view input, std::string& body) {
   if (this->is_complete) {
     return size_t{0};
   }
-  switch (this->shape.framing) {
+  switch (this->message_framing.framing) {
     case BodyFraming::kNone:
       return size_t{0};
     case BodyFraming::kUntilClose:
       body.append(input);
       return input.size();
     case BodyFraming::kLength: {
-      const size_t taken = std::min<uint64_t>(input.size(), this->missing);
-      body.append(input.substr(0, taken));
-      this->missing -= taken;
-      this->is_complete = this->missing == 0;
-      return taken;
+      const size_t consumed =
+          std::min<uint64_t>(input.size(), this->remaining_bytes);
+      body.append(input.substr(0, consumed));
+      this->remaining_bytes -= consumed;
+      this->is_complete = this->remaining_bytes == 0;
+      return consumed;
     }
     case BodyFraming::kChunked:
       return this->ReadChunked(input, body);
--- a/Libraries/LibHTTP/Parser.h
+++ b/Libraries/LibHTTP/Parser.h
@@ -41,21 +41,21 @@
 enum class BodyFraming { kNone, kLength, kChunked, kUntilClose };
 
 // How a body is framed, with its length where that is told.
-struct BodyShape {
+struct MessageFraming {
   BodyFraming framing = BodyFraming::kNone;
   uint64_t length = 0;
 };
 
 // Fails with kMalformedRequest if the headers contradict each other: a sender
 // and a receiver that read them differently would split a request in two.
-Result<BodyShape> ShapeOfRequest(const RequestHead& head);
+Result<MessageFraming> FramingOfRequest(const RequestHead& head);
 
 // Fails with kMalformedFrame if the headers contradict each other.
-Result<BodyShape> ShapeOfAnswer(const AnswerHead& head,
-                                std::string_view method);
+Result<MessageFraming> FramingOfAnswer(const AnswerHead& head,
+                                       std::string_view method);
 
 // Whether the connection may carry another message after this one.
-bool is_kept(const HeaderList& headers, int minor_version);
+bool is_persistent(const HeaderList& headers, int minor_version);
 
 // Whether the comma-separated `value` contains `word`, ignoring case.
 bool has_token(std::string_view value, std::string_view word);
@@ -63,7 +63,7 @@
 // Reads a body out of a connection's bytes as they come.
 class BodyReader {
  public:
-  explicit BodyReader(BodyShape shape = {});
+  explicit BodyReader(MessageFraming message_framing = {});
 
   // Consumes `input` and appends the body's bytes to `body`. Returns how many
   // bytes of the input belonged to the body's coding. Fails with
@@ -73,13 +73,13 @@
   // Whether the body's end was read.
   bool is_whole() const { return this->is_complete; }
 
-  BodyFraming framing() const { return this->shape.framing; }
+  BodyFraming framing() const { return this->message_framing.framing; }
 
  private:
   Result<size_t> ReadChunked(std::string_view input, std::string& body);
 
-  BodyShape shape;
-  uint64_t missing = 0;
+  MessageFraming message_framing;
+  uint64_t remaining_bytes = 0;
   bool is_complete = false;
   // The state of h2o's chunked decoder, see Parser.cc.
   size_t chunk_bytes_left = 0;
--- a/Libraries/LibHTTP/Server.cc
+++ b/Libraries/LibHTTP/Server.cc
@@ -109,7 +109,8 @@
     return;
   }
   if (!can_show_truncation(*this->request, status)) {
-    this->held = Response{.status = status, .headers = headers, .body = ""};
+    this->buffered_answer =
+        Response{.status = status, .headers = headers, .body = ""};
     return;
   }
   this->SetHead(status, headers);
@@ -124,9 +125,9 @@
   if (this->is_closed() || this->end != End::kNone || bytes.empty()) {
     return;
   }
-  if (this->held) {
-    this->held->body.append(bytes);
-    if (this->held->body.size() > this->most_pending_bytes) {
+  if (this->buffered_answer) {
+    this->buffered_answer->body.append(bytes);
+    if (this->buffered_answer->body.size() > this->max_pending_bytes) {
       this->Abandon();
     }
     return;
@@ -135,7 +136,7 @@
   this->Flush();
   // A caller that reads slower than the engine writes would otherwise fill
   // the memory of the process; its own answer is cut instead.
-  if (this->pending.size() > this->most_pending_bytes) {
+  if (this->pending.size() > this->max_pending_bytes) {
     this->Abandon();
   }
 }
@@ -151,8 +152,8 @@
 void Exchange::EndAs(End kind) {
   // The first end stands: a stream that was cut off for a slow caller while
   // bytes were on their way must not be finished as whole by its source.
-  if (this->held) {
-    this->EndHeld(kind);
+  if (this->buffered_answer) {
+    this->EndBuffered(kind);
     return;
   }
   if (this->end == End::kNone) {
@@ -161,13 +162,13 @@
   this->Flush();
 }
 
-void Exchange::EndHeld(End kind) {
-  const Response whole = *std::exchange(this->held, std::nullopt);
+void Exchange::EndBuffered(End kind) {
+  const Response whole = *std::exchange(this->buffered_answer, std::nullopt);
   this->Respond(kind == End::kWhole ? whole : TruncatedAnswer());
 }
 
-void Exchange::OnGone(std::function<void()> callback) {
-  this->gone_callback = std::move(callback);
+void Exchange::OnDisconnect(std::function<void()> callback) {
+  this->disconnect_callback = std::move(callback);
 }
 
 void Exchange::SetHead(int status, const HeaderList& headers) {
@@ -216,7 +217,7 @@
     state =
         this->end == End::kWhole ? H2O_SEND_STATE_FINAL : H2O_SEND_STATE_ERROR;
     this->request = nullptr;
-    this->gone_callback = nullptr;
+    this->disconnect_callback = nullptr;
   }
   h2o_send(sent_on, &buffer, this->in_flight.empty() ? 0 : 1, state);
 }
@@ -228,12 +229,12 @@
 
 void Exchange::HandleDisposal() {
   this->request = nullptr;
-  if (this->gone_callback) {
-    std::exchange(this->gone_callback, nullptr)();
+  if (this->disconnect_callback) {
+    std::exchange(this->disconnect_callback, nullptr)();
   }
 }
 
-bool Exchange::has_caller_left() const {
+bool Exchange::has_caller_disconnected() const {
   if (this->is_closed()) {
     return false;
   }
@@ -250,10 +251,10 @@
 
 void Exchange::Abandon() {
   auto keep_until_return = this->shared_from_this();
-  auto callback = std::exchange(this->gone_callback, nullptr);
+  auto callback = std::exchange(this->disconnect_callback, nullptr);
   this->pending.clear();
-  const bool is_unanswered =
-      !this->held && !this->is_closed() && this->request->_generator == nullptr;
+  const bool is_unanswered = !this->buffered_answer && !this->is_closed() &&
+                             this->request->_generator == nullptr;
   if (is_unanswered) {
     this->Respond({.status = kCallerClosedRequest, .headers = {}, .body = ""});
   } else {
@@ -274,43 +275,44 @@
   EventLoop* loop = nullptr;
   std::set<std::shared_ptr<Exchange>> exchanges;
 
-  void Disown() {
-    this->loop->Cancel(this->departure_timer);
+  void StopServing() {
+    this->loop->Cancel(this->disconnect_timer);
     this->listener = nullptr;
   }
 
   // h2o does not read from a connection while its answer is pending, so that
   // a caller who leaves is not seen before the next write. Without this check
   // the engine would work on for callers that are gone.
-  void CheckForDepartures() {
+  void CheckForDisconnects() {
     const auto open = this->exchanges;
     for (const auto& exchange : open) {
-      if (exchange->has_caller_left()) {
+      if (exchange->has_caller_disconnected()) {
         exchange->Abandon();
       }
     }
-    this->departure_timer =
-        this->loop->RunAfter(this->limits.departure_check_interval,
-                             [this] { this->CheckForDepartures(); });
+    this->disconnect_timer =
+        this->loop->RunAfter(this->limits.disconnect_check_interval,
+                             [this] { this->CheckForDisconnects(); });
   }
 
-  TimerId departure_timer = 0;
+  TimerId disconnect_timer = 0;
 
   int HandleRequest(h2o_req_t* request) {
-    struct Watch {
+    struct DisposalHook {
       std::shared_ptr<Exchange> exchange;
       Internals* internals;
     };
     auto exchange =
-        std::make_shared<Exchange>(request, this->limits.most_pending_bytes);
+        std::make_shared<Exchange>(request, this->limits.max_pending_bytes);
     // h2o tells nobody when a connection closes before the answer has begun;
     // the disposal of the request's pool is the one event that always comes.
-    new (h2o_mem_alloc_shared(&request->pool, sizeof(Watch), [](void* memory) {
-      auto* watch = static_cast<Watch*>(memory);
-      watch->internals->exchanges.erase(watch->exchange);
-      watch->exchange->HandleDisposal();
-      std::destroy_at(watch);
-    })) Watch{exchange, this};
+    new (h2o_mem_alloc_shared(
+        &request->pool, sizeof(DisposalHook), [](void* memory) {
+          auto* hook = static_cast<DisposalHook*>(memory);
+          hook->internals->exchanges.erase(hook->exchange);
+          hook->exchange->HandleDisposal();
+          std::destroy_at(hook);
+        })) DisposalHook{exchange, this};
     this->exchanges.insert(exchange);
     this->handler(ToRequest(*request), exchange);
     return 0;
@@ -330,7 +332,7 @@
   state->limits = limits;
   state->loop = &loop;
   h2o_config_init(&state->config);
-  state->config.max_request_entity_size = limits.largest_body;
+  state->config.max_request_entity_size = limits.max_body_bytes;
   state->config.http1.req_timeout =
       static_cast<uint64_t>(limits.request_timeout.count());
   h2o_hostconf_t* host = h2o_config_register_host(
@@ -350,24 +352,24 @@
       TRY(Listener::Listen(loop, address, [state](h2o_socket_t* accepted) {
         h2o_accept(&state->accept_context, accepted);
       }));
-  state->CheckForDepartures();
+  state->CheckForDisconnects();
   return std::unique_ptr<Server>(new Server(std::move(internals)));
 }
 
 Server::~Server() {
-  this->internals->Disown();
+  this->internals->StopServing();
   // h2o's connections and timers refer to the context until the loop itself
   // is gone, so that its memory is left to the loop.
   static_cast<void>(this->internals.release());
 }
 
-void Server::CloseKeptConnections() {
+void Server::ClosePersistentConnections() {
   h2o_context_request_shutdown(&this->internals->context);
 }
 
 void Server::Drain() {
   this->internals->listener = nullptr;
-  this->CloseKeptConnections();
+  this->ClosePersistentConnections();
 }
 
 uint16_t Server::port() const {
--- a/Libraries/LibHTTP/Server.h
+++ b/Libraries/LibHTTP/Server.h
@@ -19,8 +19,8 @@
 // a late answer meets a closed exchange instead of freed memory.
 class Exchange : public std::enable_shared_from_this<Exchange> {
  public:
-  Exchange(h2o_req_t* request, size_t most_pending_bytes)
-      : request(request), most_pending_bytes(most_pending_bytes) {}
+  Exchange(h2o_req_t* request, size_t max_pending_bytes)
+      : request(request), max_pending_bytes(max_pending_bytes) {}
 
   // Sends the whole answer.
   void Respond(const Response& response);
@@ -40,7 +40,7 @@
   void Abort();
 
   // Calls `callback` if the caller leaves before the answer has ended.
-  void OnGone(std::function<void()> callback);
+  void OnDisconnect(std::function<void()> callback);
 
   // Whether nothing more can reach the caller.
   bool is_closed() const { return this->request == nullptr; }
@@ -53,34 +53,34 @@
   enum class End { kNone, kWhole, kTruncated };
 
   void EndAs(End kind);
-  void EndHeld(End kind);
+  void EndBuffered(End kind);
   void SetHead(int status, const HeaderList& headers);
   void StartGenerator();
   void Flush();
   void HandleProceed();
   void HandleDisposal();
-  bool has_caller_left() const;
+  bool has_caller_disconnected() const;
   void Abandon();
 
   h2o_req_t* request;
   // A streamed answer that is held back until its end is known.
-  std::optional<Response> held;
-  size_t most_pending_bytes;
+  std::optional<Response> buffered_answer;
+  size_t max_pending_bytes;
   std::string pending;
   std::string in_flight;
-  std::function<void()> gone_callback;
+  std::function<void()> disconnect_callback;
   End end = End::kNone;
   bool is_sending = false;
 };
 
 // Bounds of what a server takes from callers.
 struct ServerLimits {
-  size_t largest_body = 1 << 20;
+  size_t max_body_bytes = 1 << 20;
   std::chrono::milliseconds request_timeout{10'000};
   // Bytes of an answer that may wait for a caller that reads slowly.
-  size_t most_pending_bytes = 4 << 20;
+  size_t max_pending_bytes = 4 << 20;
   // How often connections are checked for callers that have left.
-  std::chrono::milliseconds departure_check_interval{250};
+  std::chrono::milliseconds disconnect_check_interval{250};
 };
 
 // Serves every path of one address through one handler.
@@ -99,7 +99,7 @@
   Server& operator=(const Server&) = delete;
 
   // Closes each kept connection after its next answer; still takes new ones.
-  void CloseKeptConnections();
+  void ClosePersistentConnections();
 
   // Takes no new connection and closes each kept one after its answer.
   void Drain();
--- a/Libraries/LibTelemetry/Log.cc
+++ b/Libraries/LibTelemetry/Log.cc
@@ -30,16 +30,16 @@
 constexpr size_t kAtomicPipeBytes = 4096;
 
 // What one kind of record has used of its present second.
-struct KindBudget {
+struct EventBudget {
   std::chrono::steady_clock::time_point second;
   uint32_t written = 0;
-  uint64_t left_out = 0;
+  uint64_t suppressed = 0;
 };
 
 struct LogState {
   std::string process;
   LogFilter filter;
-  std::map<std::string, KindBudget, std::less<>> budgets;
+  std::map<std::string, EventBudget, std::less<>> budgets;
   uint64_t lost_lines = 0;
 };
 
@@ -69,23 +69,23 @@
 // one is over and gives the count of those left out before.
 bool TakeFromBudget(LogLevel level,
                     std::string_view event,
-                    uint64_t& left_out) {
+                    uint64_t& suppressed) {
   auto& budgets = State().budgets;
   auto found = budgets.find(event);
   if (found == budgets.end()) {
-    found = budgets.emplace(std::string(event), KindBudget{}).first;
+    found = budgets.emplace(std::string(event), EventBudget{}).first;
   }
-  KindBudget& budget = found->second;
+  EventBudget& budget = found->second;
   const auto now = std::chrono::steady_clock::now();
   if (now - budget.second >= std::chrono::seconds(1)) {
-    left_out = std::exchange(budget.left_out, 0);
+    suppressed = std::exchange(budget.suppressed, 0);
     budget.second = now;
     budget.written = 0;
   }
-  const uint32_t most =
+  const uint32_t max_records =
       level >= LogLevel::kWarning ? kWarningsPerSecond : kInfoPerSecond;
-  if (budget.written >= most) {
-    ++budget.left_out;
+  if (budget.written >= max_records) {
+    ++budget.suppressed;
     return false;
   }
   ++budget.written;
@@ -124,7 +124,7 @@
   for (std::string word; std::getline(words, word, ',');) {
     const size_t equals = word.find('=');
     if (equals == std::string::npos) {
-      filter.lowest = TRY(ParseLogLevel(word));
+      filter.min_level = TRY(ParseLogLevel(word));
       continue;
     }
     filter.modules[word.substr(0, equals)] =
@@ -138,7 +138,7 @@
                std::string_view module) {
   const auto named = filter.modules.find(module);
   return level >=
-         (named == filter.modules.end() ? filter.lowest : named->second);
+         (named == filter.modules.end() ? filter.min_level : named->second);
 }
 
 void Log(LogLevel level,
@@ -148,8 +148,8 @@
   if (!is_logged(State().filter, level, module)) {
     return;
   }
-  uint64_t left_out = 0;
-  if (!TakeFromBudget(level, event, left_out)) {
+  uint64_t suppressed = 0;
+  if (!TakeFromBudget(level, event, suppressed)) {
     return;
   }
   const auto now = std::chrono::time_point_cast<std::chrono::milliseconds>(
@@ -163,8 +163,8 @@
   for (const LogField& field : fields) {
     record[std::string(field.name)] = field.value;
   }
-  if (left_out > 0) {
-    record["left_out_before"] = left_out;
+  if (suppressed > 0) {
+    record["left_out_before"] = suppressed;
   }
   if (State().lost_lines > 0) {
     record["lost_lines"] = State().lost_lines;
--- a/Libraries/LibTelemetry/Log.h
+++ b/Libraries/LibTelemetry/Log.h
@@ -21,7 +21,7 @@
 
 // The lowest level that is written, for all modules but those named.
 struct LogFilter {
-  LogLevel lowest = LogLevel::kInfo;
+  LogLevel min_level = LogLevel::kInfo;
   std::map<std::string, LogLevel, std::less<>> modules;
 };
 
--- a/Libraries/LibWire/Codec.cc
+++ b/Libraries/LibWire/Codec.cc
@@ -25,8 +25,8 @@
   builder.Finish(Frame::Pack(builder, &frame));
   const auto size = static_cast<uint32_t>(builder.GetSize());
   std::string bytes;
-  bytes.reserve(kLengthBytes + size);
-  for (size_t i = 0; i < kLengthBytes; ++i) {
+  bytes.reserve(kLengthPrefixBytes + size);
+  for (size_t i = 0; i < kLengthPrefixBytes; ++i) {
     bytes += static_cast<char>((size >> (8 * i)) & 0xFF);
   }
   bytes.append(reinterpret_cast<const char*>(builder.GetBufferPointer()), size);
--- a/Libraries/LibWire/Codec.h
+++ b/Libraries/LibWire/Codec.h
@@ -12,10 +12,10 @@
 
 // The largest frame that a connection takes. A frame carries at most one
 // catalogue shard or one request body.
-inline constexpr size_t kLargestFrame = 4 << 20;
+inline constexpr size_t kMaxFrameBytes = 4 << 20;
 
 // Bytes of the length that stands before each frame, little-endian.
-inline constexpr size_t kLengthBytes = 4;
+inline constexpr size_t kLengthPrefixBytes = 4;
 
 // Serializes a message with the length before it.
 template <typename Message>
--- a/Libraries/LibWire/Connection.cc
+++ b/Libraries/LibWire/Connection.cc
@@ -20,7 +20,7 @@
 
 size_t ReadLength(const char* bytes) {
   size_t length = 0;
-  for (size_t i = 0; i < kLengthBytes; ++i) {
+  for (size_t i = 0; i < kLengthPrefixBytes; ++i) {
     length |= static_cast<size_t>(static_cast<unsigned char>(bytes[i]))
               << (8 * i);
   }
@@ -99,7 +99,7 @@
   // A frozen peer reads nothing, and what waits for it would fill the memory
   // of this process. The end is heard through the loop, not inside Send, since
   // senders walk over their connections while they send.
-  if (this->is_connected && this->pending.size() > kMostPendingBytes) {
+  if (this->is_connected && this->pending.size() > kMaxPendingBytes) {
     ::shutdown(h2o_socket_get_fd(this->socket), SHUT_RDWR);
   }
 }
@@ -127,21 +127,21 @@
 void Connection::HandleInput() {
   while (this->socket != nullptr) {
     h2o_buffer_t** input = &this->socket->input;
-    if ((*input)->size < kLengthBytes) {
+    if ((*input)->size < kLengthPrefixBytes) {
       return;
     }
     const size_t length = ReadLength((*input)->bytes);
-    if (length > kLargestFrame) {
+    if (length > kMaxFrameBytes) {
       this->CloseWith(Error{ErrorCode::kMalformedFrame, "frame", "too long"});
       return;
     }
-    if ((*input)->size < kLengthBytes + length) {
+    if ((*input)->size < kLengthPrefixBytes + length) {
       return;
     }
     // The verifier needs aligned memory, which a slice of the input is not.
-    const std::string bytes((*input)->bytes + kLengthBytes, length);
-    h2o_buffer_consume(input, kLengthBytes + length);
-    MutableTotalBytes().received += kLengthBytes + length;
+    const std::string bytes((*input)->bytes + kLengthPrefixBytes, length);
+    h2o_buffer_consume(input, kLengthPrefixBytes + length);
+    MutableTotalBytes().received += kLengthPrefixBytes + length;
     auto frame = Decode(bytes);
     if (frame.has_error()) {
       this->CloseWith(frame.error());
--- a/Libraries/LibWire/Connection.h
+++ b/Libraries/LibWire/Connection.h
@@ -22,7 +22,7 @@
 const ByteTotals& TotalBytes();
 
 // Bytes that may wait for a peer before the connection is given up.
-inline constexpr size_t kMostPendingBytes = 32 << 20;
+inline constexpr size_t kMaxPendingBytes = 32 << 20;
 
 // What a connection's owner hears. `on_closed` comes once, last.
 struct ConnectionEvents {
--- a/Services/bramleyspand/Agent/Calls.cc
+++ b/Services/bramleyspand/Agent/Calls.cc
@@ -128,7 +128,7 @@
                   {"bramleyspan-entry", call.catalogue_entry}},
       .body = call.body,
       // The deadlines of `calls` end it; this bound is only a last resort.
-      .timeout = 2 * state.calls.settings.longest_run,
+      .timeout = 2 * state.calls.settings.max_run_time,
       .connection_use = call.claim.empty() ? http::ConnectionUse::kShared
                                            : http::ConnectionUse::kFresh};
   auto exchange =
@@ -236,7 +236,7 @@
 
 void HandleLostEntry(AgentState& state, const wire::Connection& connection) {
   state.callers.erase(connection.id);
-  Perform(state, calls::LoseConnection(state.calls, connection.id));
+  Perform(state, calls::HandleConnectionClosed(state.calls, connection.id));
 }
 
 void WatchDeadlines(AgentState& state) {
@@ -266,7 +266,7 @@
 }
 
 void CutAllCalls(AgentState& state) {
-  Perform(state, calls::CutAll(state.calls));
+  Perform(state, calls::AbortAll(state.calls));
 }
 
 }  // namespace bramleyspan::agent
--- a/Services/bramleyspand/Entry/Calls.cc
+++ b/Services/bramleyspand/Entry/Calls.cc
@@ -79,7 +79,7 @@
 }
 
 http::Response ToResponse(const OpenCall& open, const calls::Ending& ending) {
-  const auto verdict = calls::VerdictOverAll(open.attempt, ending.verdict);
+  const auto verdict = calls::CombinedVerdict(open.attempt, ending.verdict);
   std::optional<Duration> retry_after;
   if (ending.retry_after > Duration(0)) {
     retry_after = ending.retry_after;
@@ -142,7 +142,7 @@
     case calls::NextStep::kFinish:
       open.exchange->Finish();
       break;
-    case calls::NextStep::kBreakOff:
+    case calls::NextStep::kTruncate:
       open.exchange->Abort();
       break;
     case calls::NextStep::kRefuse:
@@ -269,7 +269,7 @@
   open.call.path = request.path;
   open.call.content_type = http::FindHeader(request.headers, "content-type");
   open.call.body = request.body;
-  exchange->OnGone([&state, id] {
+  exchange->OnDisconnect([&state, id] {
     const auto found = state.calls.find(id);
     if (found == state.calls.end()) {
       return;
--- a/Services/bramleyspand/Entry/EntryRole.cc
+++ b/Services/bramleyspand/Entry/EntryRole.cc
@@ -23,7 +23,7 @@
   Result<void> Start() {
     const Settings& settings = this->state.settings;
     // An operator sends a whole catalogue: 1,500 owners take over a megabyte.
-    const http::ServerLimits limits{.largest_body = kLargestOperatorBody};
+    const http::ServerLimits limits{.max_body_bytes = kLargestOperatorBody};
     this->server = TRY(http::Server::Listen(
         this->state.loop, {settings.ip, settings.caller_port}, limits,
         [this](const http::Request& request,
@@ -49,7 +49,7 @@
     // A caller that sends its next request on a kept connection just as this
     // process exits gets no answer. So each is told with its next answer to
     // connect anew, while there is time to do so.
-    this->server->CloseKeptConnections();
+    this->server->ClosePersistentConnections();
     this->drain_ends = EventLoop::Now() + this->state.settings.drain_bound;
     // Callers keep the addresses that they were told for a while and may still
     // connect here: serve on until all kept answers have run out.
--- a/Services/bramleyspand/Gateway/Forwarding.cc
+++ b/Services/bramleyspand/Gateway/Forwarding.cc
@@ -121,7 +121,7 @@
                                   .silence = this->route->patience},
                                  this->arrived);
   gateway::NoteRequest(this->state.repeats, this->service, this->arrived);
-  this->exchange->OnGone([self = this->weak_from_this()] {
+  this->exchange->OnDisconnect([self = this->weak_from_this()] {
     if (const auto forwarding = self.lock()) {
       forwarding->HandleGone();
     }
--- a/Services/bramleyspand/Gateway/GatewayRole.cc
+++ b/Services/bramleyspand/Gateway/GatewayRole.cc
@@ -272,8 +272,8 @@
 
   void HandleTable(const gateway::RouteTable& table) {
     const gateway::CallerLimits& bounds = table.limits;
-    this->callers->SetLimits({.largest_head = bounds.header_bytes,
-                              .largest_body = bounds.body_bytes,
+    this->callers->SetLimits({.max_head_bytes = bounds.header_bytes,
+                              .max_body_bytes = bounds.body_bytes,
                               .head_timeout = bounds.header_timeout,
                               .idle_timeout = bounds.idle_timeout});
     this->peers.TellNow();
--- a/Services/bramleyspand/Rank/Orders.cc
+++ b/Services/bramleyspand/Rank/Orders.cc
@@ -152,7 +152,7 @@
                    {"content-type", "application/json"}},
        .body = this->state.adapter.write_order(order),
        .timeout = timeout,
-       .channels = is_own ? &this->state.channels : nullptr},
+       .connection_pool = is_own ? &this->state.connection_pool : nullptr},
       [kind, server, order, on_ended = std::move(on_ended)](
           CallEnd end, const http::Response& response) {
         const bool is_answered = end == CallEnd::kWhole;
--- a/Services/bramleyspand/Rank/RankReadings.cc
+++ b/Services/bramleyspand/Rank/RankReadings.cc
@@ -27,7 +27,7 @@
        .headers = {{"host", Format(*this->state.fleet().engine)}},
        .connect_timeout = kOwnCallTimeout,
        .timeout = kOwnCallTimeout,
-       .channels = &this->state.channels},
+       .connection_pool = &this->state.connection_pool},
       [on_done = std::move(on_done)](CallEnd end,
                                      const http::Response& response) {
         if (end != CallEnd::kWhole || response.status != 200) {
--- a/Services/bramleyspand/Rank/RankState.h
+++ b/Services/bramleyspand/Rank/RankState.h
@@ -84,7 +84,7 @@
   EventLoop& loop;
   Settings settings;
   mapswitch::RankAdapter adapter;
-  http::KeptChannels channels;
+  http::ConnectionPool connection_pool;
   std::unique_ptr<PeerDatagrams> datagrams;
   membership::Members members;
   uint64_t incarnation = 0;
--- a/StandIns/Common.h
+++ b/StandIns/Common.h
@@ -23,7 +23,7 @@
     return 2;
   }
   http::ServerLimits limits;
-  limits.largest_body = 8 << 20;
+  limits.max_body_bytes = 8 << 20;
   auto guarded = [handler = std::move(handler)](const auto& request,
                                                 const auto& exchange) {
     try {
--- a/StandIns/KeyValueService.cc
+++ b/StandIns/KeyValueService.cc
@@ -139,7 +139,7 @@
   waiter.timer =
       state.loop.RunAfter(wait, [&state, id] { WakeWaiter(state, id); });
   state.waiters.emplace(id, std::move(waiter));
-  exchange->OnGone([&state, id] {
+  exchange->OnDisconnect([&state, id] {
     const auto found = state.waiters.find(id);
     if (found != state.waiters.end()) {
       state.loop.Cancel(found->second.timer);
--- a/StandIns/ModelEngine.cc
+++ b/StandIns/ModelEngine.cc
@@ -107,7 +107,7 @@
     exchange->StartStream(200, {{"content-type", "text/event-stream"}});
   }
   const uint64_t id = ++state.last_request;
-  exchange->OnGone(
+  exchange->OnDisconnect(
       [&state, id] { state.cancelled += state.requests.erase(id); });
   state.requests.emplace(id, std::move(running));
 }
--- a/StandIns/UsersPlatform/Ranks.cc
+++ b/StandIns/UsersPlatform/Ranks.cc
@@ -149,7 +149,7 @@
                               {"x-attempt-id", attempt},
                               {"x-server-stamp", "stamp-" + attempt}});
   const uint64_t number = ++group.last_stream;
-  exchange->OnGone([&rank, number] { rank.streams.erase(number); });
+  exchange->OnDisconnect([&rank, number] { rank.streams.erase(number); });
   rank.streams.emplace(number, std::move(stream));
 }
 
--- a/Tests/LibCalls/TestAgentCalls.cc
+++ b/Tests/LibCalls/TestAgentCalls.cc
@@ -89,7 +89,7 @@
   AgentCalls calls = MakeAgent();
   REQUIRE(ForwardsIn(ReceiveCall(calls, Claimed(calls, kFirst), kStart)) == 1);
   CHECK(ReceiveCall(calls, Claimed(calls, kSecond), kStart).empty());
-  CHECK(LoseConnection(calls, kFirst.connection).empty());
+  CHECK(HandleConnectionClosed(calls, kFirst.connection).empty());
   ReceiveHead(calls, 1, {.status = 200}, kStart);
   ReceiveBytes(calls, 1, "invoice", kStart);
   const Effects effects = ReceiveEnd(calls, 1, BackEndOutcome::kComplete, "");
@@ -202,10 +202,11 @@
     } else if (const auto* bytes = std::get_if<SendBytes>(&effect)) {
       RC_ASSERT(bytes->bytes == history.nonce_of_recipient.at(bytes->to));
     } else if (const auto* end = std::get_if<SendEnd>(&effect)) {
-      const std::string& asked = history.nonce_of_recipient.at(end->to);
+      const std::string& requested_nonce =
+          history.nonce_of_recipient.at(end->to);
       if (end->ending.verdict == Verdict::kNotRun) {
-        RC_ASSERT(history.runs[asked] == 0);
-        history.not_run.insert(asked);
+        RC_ASSERT(history.runs[requested_nonce] == 0);
+        history.not_run.insert(requested_nonce);
       }
     }
   }
@@ -257,7 +258,7 @@
               "");
       break;
     case 6:
-      Observe(history, LoseConnection(calls, choice % 2), "");
+      Observe(history, HandleConnectionClosed(calls, choice % 2), "");
       break;
     case 7:
       now += seconds(choice);
--- a/Tests/LibCalls/TestRetry.cc
+++ b/Tests/LibCalls/TestRetry.cc
@@ -48,30 +48,30 @@
 TEST_CASE("an answer that has begun is broken off") {
   Attempt begun = Repeatable();
   begun.has_head = true;
-  CHECK(DecideNextStep({}, begun, kLost, kAllow) == NextStep::kBreakOff);
+  CHECK(DecideNextStep({}, begun, kLost, kAllow) == NextStep::kTruncate);
 }
 
 // All targets fail at once and every entry triples the load on what is left.
 TEST_CASE("the budget bounds retries and counts only those that happen") {
-  int asked = 0;
-  const TakeRetry refuse = [&asked] {
-    ++asked;
+  int request_count = 0;
+  const TakeRetry refuse = [&request_count] {
+    ++request_count;
     return false;
   };
   CHECK(DecideNextStep({}, Repeatable(), kLost, refuse) == NextStep::kRefuse);
   Attempt third = Repeatable();
   third.attempts = 3;
   DecideNextStep({}, third, kLost, refuse);
-  CHECK(asked == 1);
+  CHECK(request_count == 1);
 }
 
 // The first agent dies with a draft, the second one is leaving: the caller
 // hears "not run" while the first engine is still writing.
 TEST_CASE("not run is not said after an attempt that may have run") {
   Attempt attempt = Repeatable();
-  CHECK(VerdictOverAll(attempt, Verdict::kNotRun) == Verdict::kNotRun);
+  CHECK(CombinedVerdict(attempt, Verdict::kNotRun) == Verdict::kNotRun);
   attempt.may_have_run = true;
-  CHECK(VerdictOverAll(attempt, Verdict::kNotRun) == Verdict::kUnknown);
+  CHECK(CombinedVerdict(attempt, Verdict::kNotRun) == Verdict::kUnknown);
 }
 
 }  // namespace bramleyspan::calls
--- a/Tests/LibHTTP/TestIngress.cc
+++ b/Tests/LibHTTP/TestIngress.cc
@@ -108,13 +108,13 @@
 TEST_CASE("Requests on one connection are answered in order") {
   IngressFixture fixture;
   fixture.Serve(Echo);
-  const std::string heard = fixture.Exchange(
+  const std::string received = fixture.Exchange(
       "POST /a HTTP/1.1\r\nhost: h\r\ncontent-length: 3\r\n\r\none"
       "POST /b?q=1 HTTP/1.1\r\nhost: h\r\ntransfer-encoding: chunked\r\n\r\n"
       "3\r\ntwo\r\n0\r\n\r\n"
       "GET /c HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n");
-  CHECK(heard.find("/a|one") < heard.find("/b|two"));
-  CHECK(heard.find("/b|two") < heard.find("/c|"));
+  CHECK(received.find("/a|one") < received.find("/b|two"));
+  CHECK(received.find("/b|two") < received.find("/c|"));
   CHECK(fixture.seen[1].query == "q=1");
   CHECK(fixture.seen[1].host == "h");
 }
@@ -130,10 +130,10 @@
     CAPTURE(head);
     IngressFixture fixture;
     fixture.Serve(Echo);
-    const std::string heard = fixture.Exchange(
+    const std::string received = fixture.Exchange(
         "POST / HTTP/1.1\r\n" + head + "\r\n0\r\n\r\nGET /x HTTP/1.1\r\n\r\n");
-    CHECK(heard.starts_with("HTTP/1.1 400"));
-    CHECK(heard.find("/x") == std::string::npos);
+    CHECK(received.starts_with("HTTP/1.1 400"));
+    CHECK(received.find("/x") == std::string::npos);
     CHECK(fixture.seen.empty());
   }
 }
@@ -161,8 +161,8 @@
     IngressFixture fixture;
     fixture.Serve(Echo, {.head_timeout = std::chrono::milliseconds(200),
                          .idle_timeout = std::chrono::milliseconds(200)});
-    const std::string heard = fixture.Exchange(bytes);
-    CHECK(heard.find("200 OK") == std::string::npos);
+    const std::string received = fixture.Exchange(bytes);
+    CHECK(received.find("200 OK") == std::string::npos);
     CHECK(fixture.seen.empty());
     CHECK(fixture
               .Exchange("GET /good HTTP/1.1\r\nhost: h\r\n"
@@ -198,7 +198,7 @@
 
 TEST_CASE("Heads and bodies over their limits are refused") {
   IngressFixture fixture;
-  fixture.Serve(Echo, {.largest_head = 200, .largest_body = 10});
+  fixture.Serve(Echo, {.max_head_bytes = 200, .max_body_bytes = 10});
   CHECK(fixture.Exchange("GET / HTTP/1.1\r\na: " + std::string(300, 'x'))
             .starts_with("HTTP/1.1 431"));
   CHECK(fixture.Exchange("POST / HTTP/1.1\r\ncontent-length: 11\r\n\r\n")
@@ -219,14 +219,14 @@
 // Story: a model server worked for seconds on requests whose callers had left.
 TEST_CASE("A caller that leaves is noticed while its answer is pending") {
   IngressFixture fixture;
-  bool is_gone = false;
+  bool is_disconnected = false;
   std::shared_ptr<IngressExchange> kept;
   auto caller = std::make_unique<RawCaller*>(nullptr);
   fixture.Serve([&](const IngressRequest&,
                     const std::shared_ptr<IngressExchange>& exchange) {
     kept = exchange;
-    exchange->OnGone([&] {
-      is_gone = true;
+    exchange->OnDisconnect([&] {
+      is_disconnected = true;
       fixture.loop.Stop();
     });
     (*caller)->Close();
@@ -234,7 +234,7 @@
   RawCaller leaving(fixture.loop, fixture.address(), "GET / HTTP/1.1\r\n\r\n");
   *caller = &leaving;
   fixture.loop.Run();
-  CHECK(is_gone);
+  CHECK(is_disconnected);
   CHECK(kept->is_closed());
   kept->Respond(200, {}, "late");
 }
@@ -247,17 +247,17 @@
     exchange->Write("id: 1\n\n");
     exchange->Abort();
   });
-  const std::string heard = fixture.Exchange("GET / HTTP/1.1\r\n\r\n");
-  CHECK(heard.find("\r\n0\r\n\r\n") == std::string::npos);
+  const std::string received = fixture.Exchange("GET / HTTP/1.1\r\n\r\n");
+  CHECK(received.find("\r\n0\r\n\r\n") == std::string::npos);
 }
 
 TEST_CASE("A draining server ends each connection after its answer") {
   IngressFixture fixture;
   fixture.Serve(Echo);
   fixture.ingress->StartDrain();
-  const std::string heard = fixture.Exchange("GET /a HTTP/1.1\r\n\r\n");
-  CHECK(heard.find("connection: close") != std::string::npos);
-  CHECK(heard.find("/a|") != std::string::npos);
+  const std::string received = fixture.Exchange("GET /a HTTP/1.1\r\n\r\n");
+  CHECK(received.find("connection: close") != std::string::npos);
+  CHECK(received.find("/a|") != std::string::npos);
 }
 
 TEST_CASE(
--- a/Tests/LibHTTP/TestServer.cc
+++ b/Tests/LibHTTP/TestServer.cc
@@ -71,22 +71,22 @@
   Fixture fixture;
   std::unique_ptr<RawCaller> caller;
   std::shared_ptr<Exchange> held;
-  bool is_gone = false;
+  bool is_disconnected = false;
   fixture.Serve(
       [&](const Request&, const auto& exchange) {
         held = exchange;
-        exchange->OnGone([&] {
-          is_gone = true;
+        exchange->OnDisconnect([&] {
+          is_disconnected = true;
           fixture.loop.Stop();
         });
         caller->Close();
       },
-      {.departure_check_interval = std::chrono::milliseconds(5)});
+      {.disconnect_check_interval = std::chrono::milliseconds(5)});
   caller = std::make_unique<RawCaller>(fixture.loop, fixture.address(),
                                        "GET / HTTP/1.1\r\nhost: a\r\n\r\n");
   fixture.loop.RunAfter(std::chrono::seconds(20), [&] { fixture.loop.Stop(); });
   fixture.loop.Run();
-  CHECK(is_gone);
+  CHECK(is_disconnected);
   CHECK(held->is_closed());
 }
 
@@ -94,10 +94,10 @@
 // until the machine kills it together with everybody else's answers.
 TEST_CASE("a caller that reads too slowly is cut off") {
   Fixture fixture;
-  bool is_gone = false;
+  bool is_disconnected = false;
   fixture.Serve(
       [&](const Request&, const auto& exchange) {
-        exchange->OnGone([&] { is_gone = true; });
+        exchange->OnDisconnect([&] { is_disconnected = true; });
         exchange->StartStream(200, {});
         for (int i = 0; i < 100 && !exchange->is_closed(); ++i) {
           exchange->Write(std::string(1 << 16, 'x'));
@@ -105,17 +105,17 @@
         CHECK(exchange->pending_bytes() <= (1U << 20));
         exchange->Finish();
       },
-      {.most_pending_bytes = 1 << 20});
+      {.max_pending_bytes = 1 << 20});
   const auto answer = fixture.Fetch({});
   CHECK(answer.has_error());
-  CHECK(is_gone);
+  CHECK(is_disconnected);
 }
 
 TEST_CASE("a body over the bound is refused with its status") {
   Fixture fixture;
   fixture.Serve(
       [](const Request&, const auto& exchange) { exchange->Respond({}); },
-      {.largest_body = 1000});
+      {.max_body_bytes = 1000});
   const auto answer =
       fixture.Fetch({.method = "POST", .body = std::string(2000, 'x')});
   REQUIRE(answer.has_value());
--- a/Tests/LibWire/TestCodec.cc
+++ b/Tests/LibWire/TestCodec.cc
@@ -9,7 +9,7 @@
   call.call = 7;
   call.body = std::string("a\0b", 3);
   const std::string bytes = Encode(std::move(call));
-  const auto frame = Decode(std::string_view(bytes).substr(kLengthBytes));
+  const auto frame = Decode(std::string_view(bytes).substr(kLengthPrefixBytes));
   REQUIRE(frame.has_value());
   REQUIRE(frame.value().body.AsCall() != nullptr);
   CHECK(frame.value().body.AsCall()->body == std::string("a\0b", 3));
@@ -17,7 +17,8 @@
 
 TEST_CASE("a truncated frame is refused with a type") {
   const std::string bytes = Encode(LeavingT{});
-  const auto frame = Decode(std::string_view(bytes).substr(kLengthBytes, 9));
+  const auto frame =
+      Decode(std::string_view(bytes).substr(kLengthPrefixBytes, 9));
   REQUIRE(frame.has_error());
   CHECK(frame.error().code == ErrorCode::kMalformedFrame);
 }
--- a/Tests/LibWire/TestConnection.cc
+++ b/Tests/LibWire/TestConnection.cc
@@ -78,7 +78,7 @@
 
 TEST_CASE("bytes that do not verify close the connection") {
   Peer peer;
-  const std::string length("\x08\x00\x00\x00", kLengthBytes);
+  const std::string length("\x08\x00\x00\x00", kLengthPrefixBytes);
   CHECK(peer.SendUntilClosed(length + "notframe").code ==
         ErrorCode::kMalformedFrame);
 }
@@ -88,7 +88,7 @@
   call.call = 7;
   call.owner = "studio-huber";
   call.body = std::string(200, 'b');
-  const std::string whole = Encode(call).substr(kLengthBytes);
+  const std::string whole = Encode(call).substr(kLengthPrefixBytes);
   std::mt19937 random(20261203);
   size_t refused = 0;
   for (int round = 0; round < 20'000; ++round) {
@@ -112,8 +112,8 @@
   bool is_closed = false;
   ConnectionEvents events;
   events.on_open = [](Connection& connection) {
-    connection.Send(std::string(kMostPendingBytes, 'x'));
-    connection.Send(std::string(kMostPendingBytes, 'x'));
+    connection.Send(std::string(kMaxPendingBytes, 'x'));
+    connection.Send(std::string(kMaxPendingBytes, 'x'));
     connection.Send(std::string(1, 'x'));
   };
   events.on_closed = [&](Connection&, const Error&) {
