--- a/Kernel/Address.h
+++ b/Kernel/Address.h
@@ -1,4 +1,4 @@
-// IP addresses with ports; the system resolves no names.
+// IPv4 addresses with ports. Host names are not resolved.
 #pragma once
 
 #include <netinet/in.h>
@@ -19,13 +19,15 @@
   auto operator<=>(const Address&) const = default;
 };
 
-// Parses "10.0.0.1:8080". Fails with kMalformedDocument.
+// Returns the address that a text such as "10.0.0.1:8080" gives. Fails with
+// kMalformedDocument.
 Result<Address> ParseAddress(std::string_view text);
 
-// Formats as "10.0.0.1:8080".
+// Returns the address as text, such as "10.0.0.1:8080".
 std::string Format(const Address& address);
 
-// Converts for the socket calls; `address` must stem from ParseAddress.
+// Returns the address in the form that socket functions take. `address.ip` must
+// be a valid IPv4 address, as ParseAddress ensures.
 sockaddr_in ToSocketAddress(const Address& address);
 
 }  // namespace bramleyspan
--- a/Kernel/Datagrams.h
+++ b/Kernel/Datagrams.h
@@ -11,13 +11,14 @@
 
 namespace bramleyspan {
 
-// Sends and receives datagrams until it is destroyed.
+// Sends and receives datagrams on one bound UDP socket.
 class Datagrams {
  public:
   using OnDatagram =
       std::function<void(const std::string& from_ip, std::string_view bytes)>;
 
-  // Fails with kConnectionFailed.
+  // Binds a socket to `address` and calls `on_datagram` for each datagram
+  // received. Fails with kConnectionFailed.
   static Result<std::unique_ptr<Datagrams>> Bind(EventLoop& loop,
                                                  const Address& address,
                                                  OnDatagram on_datagram);
@@ -25,7 +26,8 @@
   Datagrams(const Datagrams&) = delete;
   Datagrams& operator=(const Datagrams&) = delete;
 
-  // Sends one datagram; one that does not go out at once is lost.
+  // Sends one datagram without waiting. Drops it if the socket cannot accept it
+  // immediately.
   void Send(const Address& to, std::string_view bytes);
 
  private:
--- a/Kernel/Digest.cc
+++ b/Kernel/Digest.cc
@@ -14,9 +14,10 @@
 
 constexpr size_t kAuthenticationCodeBytes = 16;
 
-// The kernel's random numbers and nothing else: a generator that also stirs in
-// the processor's own source or its cycle count would make two runs of one
-// simulated day differ, and a failure could not be played again by its seed.
+// Uses only the operating system's random numbers. A generator that also mixes
+// in the processor's random instructions or cycle counter would make two runs
+// of a simulation with the same seed differ, so failures could not be
+// reproduced.
 void FillRandom(void* bytes, size_t count) {
   auto* at = static_cast<unsigned char*>(bytes);
   while (count > 0) {
--- a/Kernel/Digest.h
+++ b/Kernel/Digest.h
@@ -1,4 +1,5 @@
-// Hashes, message authentication and random bytes, all by OpenSSL.
+// Hashes and message authentication codes from OpenSSL, and random bytes from
+// the operating system.
 #pragma once
 
 #include <cstddef>
@@ -8,19 +9,21 @@
 
 namespace bramleyspan {
 
-// The SHA-256 of `bytes` as 64 lower-case hexadecimal digits.
+// Returns the SHA-256 of `bytes` as 64 lower-case hexadecimal digits.
 std::string Sha256Hex(std::string_view bytes);
 
-// The first 128 bits of HMAC-SHA-256 as 32 hexadecimal digits.
+// Returns the first 128 bits of HMAC-SHA-256 as 32 hexadecimal digits.
 std::string AuthenticationCode(std::string_view secret, std::string_view bytes);
 
-// Compares without telling by its time where two texts differ.
+// Compares two texts. For texts of equal length the time taken does not depend
+// on where they differ.
 bool is_equal_in_constant_time(std::string_view left, std::string_view right);
 
-// `count` random bytes as hexadecimal digits, from the system's source.
+// Returns `count` random bytes from getrandom() as 2 * `count` hexadecimal
+// digits.
 std::string RandomHex(size_t count);
 
-// 64 random bits from the system's source.
+// Returns 64 random bits from getrandom().
 uint64_t RandomBits();
 
 }  // namespace bramleyspan
--- a/Kernel/Error.h
+++ b/Kernel/Error.h
@@ -1,4 +1,4 @@
-// The typed failure that every library of the workspace returns.
+// The error type that all libraries return.
 #pragma once
 
 #include <string>
@@ -6,7 +6,7 @@
 
 namespace bramleyspan {
 
-// Kind of a failure. Each has a stable code that callers and logs see.
+// Kind of an error. Each has a stable code that appears in answers and logs.
 enum class ErrorCode {
   kInvalidSetting,
   kMalformedDocument,
@@ -16,7 +16,7 @@
   kConnectionClosed,
   kTimeout,
   kConflict,
-  // The key-value service lacks a change that is in force.
+  // The key-value service lacks a change that is already in force.
   kStoreBehind,
   kOutcomeUnknown,
   kUnauthenticated,
@@ -32,11 +32,11 @@
   kTruncated,
   kTooLarge,
   kTargetFailed,
-  // A store no longer has the changes that a watch asks for.
+  // The store no longer holds the changes that a watch requests.
   kHistoryGone,
 };
 
-// A failure with its kind, the thing it concerns and a sentence for people.
+// An error: its kind, the item that it concerns and a readable explanation.
 struct Error {
   ErrorCode code = ErrorCode::kUnavailable;
   std::string subject;
@@ -46,10 +46,12 @@
 // Returns the stable lower-case code of a kind, such as "limit_exceeded".
 std::string_view StableCodeOf(ErrorCode code);
 
-// Returns the kind with that stable code; kUnavailable for an unknown one.
+// Returns the kind with that stable code, or kUnavailable if the code is
+// unknown.
 ErrorCode ErrorCodeFromStableCode(std::string_view stable_code);
 
-// Formats a failure as "code: subject: detail" for terminals and logs.
+// Returns an error as "code: subject: detail", or "code: subject" without a
+// detail.
 std::string Describe(const Error& error);
 
 }  // namespace bramleyspan
--- a/Kernel/EventLoop.cc
+++ b/Kernel/EventLoop.cc
@@ -15,16 +15,16 @@
 }  // namespace
 
 EventLoop::EventLoop() : loop(h2o_evloop_create()) {
-  // A peer that closes its socket must show as a write error, not as a signal
-  // that ends the process.
+  // A write to a socket that the peer has closed must fail with an error. By
+  // default SIGPIPE ends the process.
   std::signal(SIGPIPE, SIG_IGN);
 }
 
 EventLoop::~EventLoop() = default;
 
 TimePoint EventLoop::Now() {
-  // The steady clock stands still while a machine is suspended. A lease or a
-  // deadline judged by it would seem to hold for longer than it does.
+  // CLOCK_MONOTONIC, behind std::chrono::steady_clock, stops while a machine is
+  // suspended, so leases and deadlines would appear valid after they expire.
   timespec now{};
   clock_gettime(CLOCK_BOOTTIME, &now);
   return TimePoint(std::chrono::duration_cast<Duration>(
@@ -80,9 +80,10 @@
   this->is_stopped = false;
   while (!this->is_stopped) {
     h2o_evloop_run(this->loop, this->MillisecondsToNextTimer());
-    // What a timer's callback hands to h2o, such as a request on a kept
-    // connection, only joins a list of pending sockets. The next run would
-    // first sleep for up to a second, so that every such request came late.
+    // A write from a timer's callback only adds the socket to h2o's list of
+    // pending sockets, which h2o handles after it has waited for events.
+    // Without this second run, such writes complete up to kMaxWaitMilliseconds
+    // late.
     if (this->RunDueTimers() && !this->is_stopped) {
       h2o_evloop_run(this->loop, 0);
     }
--- a/Kernel/EventLoop.h
+++ b/Kernel/EventLoop.h
@@ -1,4 +1,4 @@
-// The single event loop of a process: h2o's loop plus one-shot timers.
+// The event loop of a process: h2o's loop with one-shot timers and signals.
 #pragma once
 
 #include <cstdint>
@@ -12,10 +12,11 @@
 
 namespace bramleyspan {
 
-// Names a scheduled timer; zero names none.
+// Identifies a scheduled timer. Zero is never a valid timer.
 using TimerId = uint64_t;
 
-// Runs callbacks of sockets and timers on the calling thread.
+// Runs the callbacks of sockets, timers and signals on the thread that calls
+// Run.
 class EventLoop {
  public:
   EventLoop();
@@ -23,25 +24,25 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  // The loop as h2o's functions take it.
+  // Returns the underlying h2o loop.
   h2o_loop_t* raw() const { return this->loop; }
 
-  // The monotonic time now, which goes on while the machine is suspended.
+  // Returns the current monotonic time, which includes time in suspend.
   static TimePoint Now();
 
-  // Calls `callback` once, not before `delay` has passed.
+  // Calls `callback` once, after at least `delay`. Returns the id for Cancel.
   TimerId RunAfter(Duration delay, std::function<void()> callback);
 
-  // Forgets a timer; harmless when it has fired already.
+  // Removes a timer. Does nothing if it has already fired.
   void Cancel(TimerId id);
 
-  // Calls `callback` for SIGTERM and SIGINT from inside the loop.
+  // Calls `callback` from the loop on SIGTERM or SIGINT.
   void OnStopSignal(std::function<void()> callback);
 
-  // Calls `callback` for SIGHUP from inside the loop.
+  // Calls `callback` from the loop on SIGHUP.
   void OnReloadSignal(std::function<void()> callback);
 
-  // Serves events until Stop.
+  // Handles events until Stop is called.
   void Run();
 
   // Makes Run return after the current callback.
@@ -62,12 +63,14 @@
   bool is_stopped = false;
 };
 
-// What a part that waits needs of a loop; tests pass time themselves.
+// The clock and timer functions of an event loop. Tests substitute simulated
+// time.
 struct Timers {
   std::function<TimePoint()> now;
   std::function<void(Duration, std::function<void()>)> run_after;
 };
 
+// Returns functions that use `loop`, which must outlive them.
 Timers TimersOf(EventLoop& loop);
 
 }  // namespace bramleyspan
--- a/Kernel/H2o.h
+++ b/Kernel/H2o.h
@@ -1,4 +1,4 @@
-// The one place that includes h2o, whose headers are C.
+// Includes the C headers of h2o. Other files include this header instead.
 #pragma once
 
 extern "C" {
--- a/Kernel/Listener.h
+++ b/Kernel/Listener.h
@@ -1,4 +1,4 @@
-// Listening TCP sockets on the event loop.
+// A listening TCP socket on the event loop.
 #pragma once
 
 #include <functional>
@@ -9,12 +9,13 @@
 
 namespace bramleyspan {
 
-// Accepts connections until it is destroyed.
+// Accepts connections until destroyed.
 class Listener {
  public:
   using OnAccept = std::function<void(h2o_socket_t*)>;
 
-  // Binds and listens. Fails with kConnectionFailed.
+  // Listens at `address` and calls `on_accept` for each connection, with
+  // TCP_NODELAY set. Fails with kConnectionFailed.
   static Result<std::unique_ptr<Listener>> Listen(EventLoop& loop,
                                                   const Address& address,
                                                   OnAccept on_accept);
@@ -22,7 +23,7 @@
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
-  // The port bound, which the system chose if port 0 was asked for.
+  // Returns the bound port. The system chooses it if port 0 was requested.
   uint16_t port() const;
 
  private:
--- a/Kernel/Plugin.h
+++ b/Kernel/Plugin.h
@@ -1,4 +1,4 @@
-// The registry into which roles and policies put themselves at start.
+// Registries of plug-ins such as roles and policies, filled at program start.
 #pragma once
 
 #include <map>
@@ -10,21 +10,24 @@
 
 namespace bramleyspan {
 
-// Plug-ins of one kind by name. `Plugin` is what the kind's users call.
+// Plug-ins of one kind by name. `Plugin` is the type that users of that kind
+// call.
 template <typename Plugin>
 class PluginRegistry {
  public:
-  // The registry of this kind.
+  // Returns the registry of this kind.
   static PluginRegistry& Instance() {
     static PluginRegistry registry;
     return registry;
   }
 
+  // Adds a plug-in, replacing any of the same name.
   void Register(std::string_view name, Plugin plugin) {
     this->plugins.insert_or_assign(std::string(name), plugin);
   }
 
-  // Finds a plug-in. Fails with kInvalidSetting that lists those known.
+  // Returns the plug-in of that name. Fails with kInvalidSetting, listing the
+  // known names.
   Result<Plugin> Find(std::string_view name) const {
     const auto found = this->plugins.find(std::string(name));
     if (found == this->plugins.end()) {
@@ -34,7 +37,7 @@
     return found->second;
   }
 
-  // The names of all plug-ins, separated by commas.
+  // Returns the names of all plug-ins, separated by commas.
   std::string JoinedNames() const {
     std::string names;
     for (const auto& [name, plugin] : this->plugins) {
@@ -47,11 +50,11 @@
   std::map<std::string, Plugin> plugins;
 };
 
-// An environment variable with our prefix that a platform sets and no setting
-// of ours reads; registered by its name.
+// Marks an environment variable that has the prefix of the settings but is set
+// by the platform and read by no setting. Registered by its name.
 struct ForeignVariable {};
 
-// Registers a plug-in while the program starts.
+// Registers a plug-in when constructed as a static object.
 template <typename Plugin>
 struct PluginRegistration {
   PluginRegistration(std::string_view name, Plugin plugin) {
--- a/Kernel/Result.h
+++ b/Kernel/Result.h
@@ -1,4 +1,4 @@
-// Results over Boost.Outcome and the macro that passes failures on.
+// A result type based on Boost.Outcome, and the TRY macro.
 #pragma once
 
 #include <boost/outcome/policy/terminate.hpp>
@@ -9,18 +9,19 @@
 
 namespace bramleyspan {
 
-// Either a value or a typed failure. Reading the wrong side terminates.
+// Either a value or an Error. Accessing the one that is absent terminates the
+// process.
 template <typename T>
 using Result = boost::outcome_v2::
     basic_result<T, Error, boost::outcome_v2::policy::terminate>;
 
-// Makes a failure that converts to any Result.
+// Returns a failure that converts to any Result.
 inline auto Fail(ErrorCode code, std::string subject, std::string detail = "") {
   return boost::outcome_v2::failure(
       Error{code, std::move(subject), std::move(detail)});
 }
 
-// The success of a Result<void>.
+// Returns a success for Result<void>.
 inline auto Succeed() {
   return boost::outcome_v2::success();
 }
--- a/Tests/Kernel/TestEventLoop.cc
+++ b/Tests/Kernel/TestEventLoop.cc
@@ -5,12 +5,11 @@
 
 namespace bramleyspan {
 
-// Story: every request that a timer started on a kept connection timed out
-// after 800 ms, while requests on fresh connections were answered at once.
-// A timer ran, wrote to an open socket, and h2o kept the completed write in
-// its pending list until the next event, up to a second later.
+// Guards against late writes from timers: h2o keeps a write from a timer's
+// callback in its pending list until the next event, up to 1 s later. Requests
+// that a timer sent on an open connection exceeded their 800 ms timeout.
 TEST_CASE(
-    "A write that a timer starts completes without waiting for an event") {
+    "A write from a timer's callback completes without waiting for an event") {
   EventLoop loop;
   int ends[2];
   REQUIRE(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, ends) == 0);
--- a/Tests/Main.cc
+++ b/Tests/Main.cc
@@ -1,5 +1,5 @@
-// Runs the test cases; those that KNOWN-RED.txt names are passed over where
-// KNOWN_RED_TESTS holds their names, separated by commas.
+// Runs the test cases except those whose names, separated by commas, the
+// environment variable KNOWN_RED_TESTS holds. KNOWN-RED.txt lists them.
 #define DOCTEST_CONFIG_IMPLEMENT
 #include <doctest/doctest.h>
 
--- a/Tests/Property.h
+++ b/Tests/Property.h
@@ -1,5 +1,5 @@
-// How property tests run rapidcheck under doctest: a fixed seed unless
-// RC_PARAMS says otherwise, so that CI gives one verdict on every run.
+// Runs rapidcheck properties under doctest. The seed is fixed unless RC_PARAMS
+// is set, so that CI runs are deterministic.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -10,7 +10,8 @@
 
 namespace bramleyspan::tests {
 
-// Checks a property whose test case's name contains "property".
+// Checks a property on 200 generated inputs. The name of the calling test case
+// must contain "property", by which Meta/explore finds it.
 template <typename Property>
 void CheckProperty(const std::string& description, Property property) {
   setenv("RC_PARAMS", "seed=1 max_success=200", /*overwrite=*/0);
