--- a/Libraries/LibHTTP/Client.cc
+++ b/Libraries/LibHTTP/Client.cc
@@ -238,7 +238,7 @@
   this->loop->Cancel(this->timer);
   auto keep_until_return = std::exchange(this->self, nullptr);
   this->events = {};
-  // Inside its own callbacks h2o closes the connection by the value returned.
+  // Inside h2o's callbacks, the value that they return closes the connection.
   if (!this->is_in_callback && this->client != nullptr) {
     h2o_http1client_cancel(std::exchange(this->client, nullptr));
   }
--- a/Libraries/LibHTTP/Client.h
+++ b/Libraries/LibHTTP/Client.h
@@ -1,4 +1,4 @@
-// An HTTP/1 client over h2o with kept connections.
+// An HTTP/1 client over h2o with persistent connections.
 #pragma once
 
 #include <functional>
@@ -14,12 +14,13 @@
 
 namespace bramleyspan::http {
 
-// Whether a request may travel on a connection that carried others before.
-// A server may close a kept connection just as a request enters it, which
-// leaves open whether it ran; what may not be repeated takes a fresh one.
+// Whether a request may use a persistent connection from the pool. A server may
+// close such a connection just as the request is sent, and then it is unknown
+// whether the request ran. Requests that must not be repeated use kFresh.
 enum class ConnectionUse { kShared, kFresh };
 
-// A request with its target and the longest time that it may take.
+// A request with its target. `timeout` covers connecting, sending and the
+// complete response.
 struct ClientRequest {
   Address target;
   std::string method = "GET";
@@ -36,20 +37,20 @@
   HeaderList headers;
 };
 
-// What a caller hears of a streamed response, in this order. `on_end` comes
-// exactly once unless the call is cancelled. Its failure is kConnectionFailed
-// if no byte was sent, kTimeout or kConnectionClosed if the request may have
-// run, kTruncated if the body broke off.
+// Callbacks of a streamed response, called in this order. `on_end` is called
+// exactly once unless the call is cancelled. It fails with kConnectionFailed if
+// no byte was sent, kTimeout or kConnectionClosed if the request may have run,
+// and kTruncated if the body is incomplete.
 struct ClientEvents {
   std::function<void(ResponseHead)> on_head;
   std::function<void(std::string_view)> on_bytes;
   std::function<void(Result<void>)> on_end;
 };
 
-// A request under way.
+// A request in progress.
 class ClientCall;
 
-// Sends requests from one event loop.
+// Sends requests on one event loop.
 class Client {
  public:
   explicit Client(EventLoop& loop);
@@ -57,11 +58,11 @@
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
-  // Starts a request whose response is heard in parts.
+  // Starts a request and passes its response to `events` in parts.
   std::shared_ptr<ClientCall> Stream(ClientRequest request,
                                      ClientEvents events);
 
-  // Starts a request and hands over the whole response.
+  // Starts a request and passes the complete response to `on_done`.
   std::shared_ptr<ClientCall> Fetch(
       ClientRequest request,
       std::function<void(Result<Response>)> on_done);
@@ -77,7 +78,7 @@
 
 class ClientCall : public std::enable_shared_from_this<ClientCall> {
  public:
-  // Closes the connection; no event follows.
+  // Closes the connection. No callback is called afterwards.
   void Cancel();
 
  private:
--- a/Libraries/LibHTTP/DirectCall.cc
+++ b/Libraries/LibHTTP/DirectCall.cc
@@ -35,7 +35,8 @@
       std::make_unique<IdleConnection>(IdleConnection{this, target, socket});
   socket->data = idle_connection.get();
   this->idle.emplace(target, std::move(idle_connection));
-  // Whatever comes now, an end or bytes of no request, ends the connection.
+  // An idle connection becomes readable only if the server closes it or sends
+  // bytes that answer no request. Both make it unusable.
   h2o_socket_read_start(socket, [](h2o_socket_t* source, const char*) {
     auto* idle = static_cast<IdleConnection*>(source->data);
     idle->owner->Drop(idle);
@@ -113,7 +114,7 @@
 }
 
 void DirectCall::Connect() {
-  // A connection that a partition swallows never fails by itself.
+  // In a network partition, a connection attempt does not fail by itself.
   this->connect_timer =
       this->loop.RunAfter(this->request.connect_timeout, [this] {
         this->connect_timer = 0;
@@ -140,7 +141,7 @@
         call->HandleConnected(failure);
       });
   if (this->socket == nullptr) {
-    // Events may not come from inside Start.
+    // Callbacks must not run inside Start.
     this->loop.RunAfter(Duration(0), [call = this->shared_from_this()] {
       call->End(CallEnd::kNotSent);
     });
@@ -171,7 +172,8 @@
   this->outgoing = this->Serialize();
   h2o_iovec_t buffer =
       h2o_iovec_init(this->outgoing.data(), this->outgoing.size());
-  // A failed write shows as a failed read too, with any answer before it.
+  // A failed write also causes a failed read, which delivers any answer that
+  // arrived before it. So the result of the write is ignored.
   h2o_socket_write(this->socket, &buffer, 1, [](h2o_socket_t*, const char*) {});
   h2o_socket_read_start(
       this->socket, [](h2o_socket_t* source, const char* read_failure) {
@@ -245,8 +247,8 @@
   if (this->is_ended || !this->reader.is_whole()) {
     return;
   }
-  // What follows the answer belongs to no request: the connection ends here,
-  // so that it reaches nobody.
+  // Bytes after the answer belong to no request. End closes the connection if
+  // there are any, so they cannot be taken for the next answer.
   this->End(CallEnd::kWhole);
 }
 
@@ -255,8 +257,8 @@
     this->End(this->input.empty() ? CallEnd::kClosed : CallEnd::kMalformed);
     return;
   }
-  // An answer without a length ends with its connection. A reset shows as
-  // another failure than a close, and such an answer is not whole.
+  // An answer without a length ends when the server closes the connection. A
+  // reset is reported as a different failure and means that it is incomplete.
   const bool is_orderly = failure == h2o_socket_error_closed;
   const bool is_whole =
       is_orderly && this->reader.framing() == BodyFraming::kUntilClose;
@@ -296,8 +298,8 @@
   if (this->socket != nullptr) {
     h2o_socket_close(std::exchange(this->socket, nullptr));
   }
-  // The callbacks may hold what holds this call; they are dropped when the
-  // present one has returned.
+  // The callbacks may own objects that own this call. They are destroyed after
+  // the current callback has returned.
   this->loop.RunAfter(Duration(0), [call = std::exchange(this->self, nullptr)] {
     if (call != nullptr) {
       call->events = {};
--- a/Libraries/LibHTTP/DirectCall.h
+++ b/Libraries/LibHTTP/DirectCall.h
@@ -1,6 +1,6 @@
-// One request on a connection of its own, whose answer is checked as it
-// comes. A fresh connection carries no bytes of an earlier answer, and nothing
-// is in doubt as long as it was never established.
+// An HTTP/1 request whose answer is checked strictly. Without a connection pool
+// it uses a fresh connection, which holds no bytes of an earlier answer. If
+// that was never established, the request certainly did not run.
 #pragma once
 
 #include <functional>
@@ -15,8 +15,8 @@
 
 namespace bramleyspan::http {
 
-// Connections that were left open after a whole answer. Only for requests that
-// may be repeated, to a server that is trusted to answer one for one.
+// Idle connections that stayed open after a complete answer. Only for requests
+// that may be repeated, to servers that send exactly one answer per request.
 class ConnectionPool {
  public:
   ConnectionPool() = default;
@@ -24,10 +24,11 @@
   ConnectionPool(const ConnectionPool&) = delete;
   ConnectionPool& operator=(const ConnectionPool&) = delete;
 
-  // An open connection; null if there is none.
+  // Removes and returns an idle connection to `target`, or null if there is
+  // none.
   h2o_socket_t* Take(const Address& target);
 
-  // Keeps a connection that carries nothing.
+  // Adds a connection on which no request or answer is in progress.
   void Add(const Address& target, h2o_socket_t* socket);
 
  private:
@@ -45,41 +46,43 @@
   Address target;
   std::string method = "GET";
   std::string path = "/";
-  // Sent as they are; the body's length and the end of the connection are
-  // added.
+  // Sent unchanged. Content-Length and, without a connection pool,
+  // "connection: close" are added.
   HeaderList headers;
   std::string body;
   Duration connect_timeout = std::chrono::milliseconds(500);
-  // From the start to the answer's end.
+  // From the start of the call to the end of the answer.
   Duration timeout = std::chrono::seconds(5);
-  // Where a kept connection may be found and left; null for a fresh one.
+  // Pool that the connection is taken from and returned to. Null opens a fresh
+  // connection, which closes after the answer.
   ConnectionPool* connection_pool = nullptr;
 };
 
 // How a call ended.
 enum class CallEnd {
-  // The whole answer came and nothing after it.
+  // The complete answer was received.
   kWhole,
-  // No connection was established: the request did not travel.
+  // No connection was established, so the request was not sent.
   kNotSent,
-  // The connection ended before an answer's head: it may have run.
+  // The connection closed before any byte of an answer. The request may have
+  // run.
   kClosed,
-  // The answer cannot be parsed, or bytes follow it.
+  // The answer cannot be parsed, or its head is incomplete or too long.
   kMalformed,
-  // The body broke off.
+  // The connection closed before the end of the body.
   kTruncated,
-  // Time ran out after the request was sent.
+  // `timeout` expired after the connection was established.
   kTimeout,
 };
 
-// The stable name of an end, such as "not_sent".
+// Returns the stable name of an end, such as "not_sent".
 std::string_view NameOf(CallEnd end);
 
 struct DirectEvents {
   std::function<void()> on_connected;
   std::function<void(const AnswerHead&, BodyFraming)> on_head;
   std::function<void(std::string_view)> on_bytes;
-  // Comes exactly once unless the call is cancelled.
+  // Called exactly once unless the call is cancelled.
   std::function<void(CallEnd)> on_end;
 };
 
@@ -89,13 +92,13 @@
                                            DirectRequest request,
                                            DirectEvents events);
 
-  // Starts a call that hands over the whole answer.
+  // Starts a call and passes the complete answer to `on_done`.
   static std::shared_ptr<DirectCall> Fetch(
       EventLoop& loop,
       DirectRequest request,
       std::function<void(CallEnd, Response)> on_done);
 
-  // Closes the connection; no event follows.
+  // Closes the connection. No callback is called afterwards.
   void Cancel();
 
  private:
--- a/Libraries/LibHTTP/Ingress.cc
+++ b/Libraries/LibHTTP/Ingress.cc
@@ -50,8 +50,8 @@
   }
 }
 
-// One timer for all connections: a timer each would cost a processor that is
-// a quarter of a core more than the requests do.
+// One timer serves all connections. On a quarter of a processor core, one timer
+// for each connection would cost more than handling the requests.
 void Ingress::CheckTimeouts() {
   const TimePoint now = EventLoop::Now();
   const std::vector<std::shared_ptr<IngressConnection>> open(
--- a/Libraries/LibHTTP/Ingress.h
+++ b/Libraries/LibHTTP/Ingress.h
@@ -1,6 +1,6 @@
-// An HTTP/1 server for a proxy, on h2o's sockets and parser. Other than
-// h2o's own server it goes on reading while an answer is pending, so that a
-// caller who leaves is seen at once, and its limits change while it runs.
+// An HTTP/1 server for a proxy, based on h2o's sockets and parser. Unlike h2o's
+// own server it keeps reading while an answer is pending, so it detects at once
+// that a caller has disconnected. Its limits can change while it runs.
 #pragma once
 
 #include <functional>
@@ -17,20 +17,21 @@
 
 namespace bramleyspan::http {
 
-// Bounds of what callers may send and how long they may take.
+// Limits on the size and duration of requests and on buffered answers.
 struct IngressLimits {
   size_t max_head_bytes = 16384;
   size_t max_body_bytes = 4 << 20;
   Duration head_timeout = std::chrono::seconds(3);
   Duration idle_timeout = std::chrono::seconds(15);
-  // Bytes of an answer that may wait for a caller that reads slowly.
+  // Bytes of an answer that may be buffered for a slow caller. Beyond this the
+  // connection is closed.
   size_t max_pending_bytes = 1 << 20;
 };
 
-// One request as it came, with its whole body.
+// One request as received, with its complete body.
 struct IngressRequest {
   std::string method;
-  // Path and query as the caller wrote them.
+  // Path and query as the caller sent them.
   std::string target;
   std::string path;
   std::string query;
@@ -41,22 +42,23 @@
 
 class IngressConnection;
 
-// A request's way back. It outlives its connection, so that a late answer
-// meets a closed exchange.
+// Sends the answer to one request. It may outlive its connection, in which case
+// calls have no effect.
 class IngressExchange : public std::enable_shared_from_this<IngressExchange> {
  public:
-  // Sends a whole answer.
+  // Sends a complete answer.
   void Respond(int status, const HeaderList& headers, std::string_view body);
 
-  // Starts an answer in chunks.
+  // Sends the head of a streamed answer: in chunks for HTTP/1.1, delimited by
+  // the end of the connection for HTTP/1.0.
   void StartStream(int status, const HeaderList& headers);
   void Write(std::string_view bytes);
   void Finish();
 
-  // Closes the connection so that the answer does not look whole.
+  // Closes the connection such that the caller detects an incomplete answer.
   void Abort();
 
-  // Calls `callback` if the caller leaves before the answer has ended.
+  // Calls `callback` if the connection closes before the answer has ended.
   void OnDisconnect(std::function<void()> callback) {
     this->disconnect_callback = std::move(callback);
   }
@@ -76,10 +78,11 @@
     std::function<void(IngressRequest,
                        const std::shared_ptr<IngressExchange>&)>;
 
-// Serves one address.
+// Accepts connections and requests at one address.
 class Ingress {
  public:
-  // Listens at `address`. Fails with kConnectionFailed.
+  // Listens at `address` and passes each request to `handler`. Fails with
+  // kConnectionFailed.
   static Result<std::unique_ptr<Ingress>> Listen(EventLoop& loop,
                                                  const Address& address,
                                                  const IngressLimits& limits,
@@ -88,17 +91,17 @@
   Ingress(const Ingress&) = delete;
   Ingress& operator=(const Ingress&) = delete;
 
-  // Holds for open connections too.
+  // Replaces the limits, also for open connections.
   void SetLimits(const IngressLimits& new_limits) { this->limits = new_limits; }
 
-  // Every answer from now on ends its connection; new ones are still taken,
-  // since callers that have not heard of the stop keep coming.
+  // Closes each connection after its next answer. New connections are still
+  // accepted, since callers do not know of the stop yet.
   void StartDrain() { this->is_draining = true; }
 
-  // Ends the idle connections and takes no new ones.
+  // Closes idle connections and stops listening.
   void CloseIdle();
 
-  // The port bound, which the system chose if port 0 was asked for.
+  // Returns the bound port. The system chooses it if port 0 was requested.
   uint16_t port() const { return this->listener->port(); }
 
   size_t open_connections() const { return this->connections.size(); }
--- a/Libraries/LibHTTP/IngressConnection.cc
+++ b/Libraries/LibHTTP/IngressConnection.cc
@@ -15,12 +15,13 @@
 constexpr int kRequestTimeout = 408;
 constexpr int kPayloadTooLarge = 413;
 constexpr int kHeadersTooLarge = 431;
-// Bytes of further requests that are kept while an answer is pending.
+// Bytes of further requests that are buffered while an answer is pending.
 constexpr size_t kMaxPipelinedBytes = 1 << 16;
-// How long a closing connection waits for the caller to read its answer.
+// How long a closing connection waits for the caller to read the answer.
 constexpr Duration kLingerTime = std::chrono::seconds(1);
-// Callers keep idle connections for up to four fifths of the limit; a close
-// that crosses a request would cost that request an attempt.
+// Callers reuse idle connections for up to four fifths of the idle timeout. If
+// the server closed one while a request is on its way, the request would fail
+// and use up an attempt.
 constexpr Duration kIdleSlack = std::chrono::milliseconds(500);
 constexpr unsigned kUserTimeoutMilliseconds = 10'000;
 
@@ -70,8 +71,8 @@
 
 void IngressConnection::Start() {
   this->socket->data = this;
-  // A caller behind a partition would otherwise hold its answer's memory for
-  // as long as the system retransmits.
+  // Limits how long the answer to an unreachable caller is held in memory.
+  // Otherwise it is held for as long as the system retransmits.
   setsockopt(h2o_socket_get_fd(this->socket), IPPROTO_TCP, TCP_USER_TIMEOUT,
              &kUserTimeoutMilliseconds, sizeof kUserTimeoutMilliseconds);
   h2o_socket_read_start(
@@ -162,7 +163,7 @@
 }
 
 void IngressConnection::ReadHead() {
-  // An empty line before a request is allowed and means nothing.
+  // RFC 9112, section 2.2: a server ignores empty lines before a request.
   while (this->input.starts_with("\r\n")) {
     this->input.erase(0, 2);
   }
@@ -247,7 +248,7 @@
   this->server.handler(std::move(request), open);
 }
 
-// Answers a request that was not read to its end and never will be.
+// Answers a request without reading the rest of it, and ends the connection.
 void IngressConnection::Refuse(int status) {
   this->is_last = true;
   this->is_answered = true;
@@ -305,7 +306,8 @@
   }
 }
 
-// The answer is complete; goes on when its last byte is written.
+// Marks the answer as complete. Once its last byte is written, continues with
+// the next request or closes the connection.
 void IngressConnection::EndAnswer() {
   this->is_answered = true;
   if (this->is_writing || this->phase != Phase::kAnswer) {
@@ -323,8 +325,9 @@
   this->ReadMore();
 }
 
-// Closing with unread bytes resets the connection, and the reset may overtake
-// the answer. So only our half is closed, and the rest is read and dropped.
+// Closing a socket with unread input resets the connection, and the caller may
+// receive the reset before the answer. So only the sending side is closed, and
+// further input is read and discarded.
 void IngressConnection::Linger() {
   this->phase = Phase::kLingering;
   this->since = EventLoop::Now();
@@ -378,8 +381,8 @@
   } else {
     channel.Send(bytes);
   }
-  // A caller that reads slower than the engine writes would otherwise fill
-  // the memory of the process; its own answer is cut instead.
+  // Bounds the memory that a caller can use by reading more slowly than the
+  // back end writes. The caller's answer is truncated.
   if (channel.outgoing.size() > channel.server.limits.max_pending_bytes) {
     channel.Close();
   }
@@ -408,7 +411,8 @@
     return;
   }
   this->disconnect_callback = nullptr;
-  // Without chunks only a reset tells a broken answer from a whole one.
+  // Without chunks, only a reset distinguishes a truncated answer from a
+  // complete one.
   if (!this->is_chunked) {
     const linger reset{.l_onoff = 1, .l_linger = 0};
     setsockopt(h2o_socket_get_fd(this->connection->socket), SOL_SOCKET,
--- a/Libraries/LibHTTP/IngressConnection.h
+++ b/Libraries/LibHTTP/IngressConnection.h
@@ -1,4 +1,4 @@
-// One caller's connection to an Ingress.
+// A caller's connection to an Ingress.
 #pragma once
 
 #include <memory>
@@ -18,7 +18,7 @@
   void Close();
   void CheckTimeout(TimePoint now);
 
-  // Whether no request is being read or answered.
+  // Whether no request is being read and no answer is being sent.
   bool is_idle() const {
     return this->phase == Phase::kHead && this->input.empty() &&
            this->outgoing.empty() && !this->is_writing;
@@ -50,14 +50,15 @@
   std::string outgoing;
   std::string in_flight;
   bool is_writing = false;
-  // Whether the connection ends with the answer under way.
+  // Whether the connection closes after the current answer.
   bool is_last = false;
   bool is_answered = false;
   std::optional<RequestHead> head;
   BodyReader body_reader;
   std::string body;
   std::shared_ptr<IngressExchange> exchange;
-  // When the present phase began.
+  // Start of the current phase, or arrival of the first bytes of a request's
+  // head.
   TimePoint since;
 };
 
--- a/Libraries/LibHTTP/Message.h
+++ b/Libraries/LibHTTP/Message.h
@@ -1,4 +1,4 @@
-// HTTP requests and responses as plain values.
+// HTTP requests and responses as values.
 #pragma once
 
 #include <string>
@@ -8,10 +8,10 @@
 
 namespace bramleyspan::http {
 
-// Header names in lower case with their values, in the order received.
+// Pairs of a lower-case header name and its value, in the order received.
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
 
-// A request as a server receives it, with its whole body.
+// A request as a server receives it, with its complete body.
 struct Request {
   std::string method;
   std::string path;
@@ -20,17 +20,19 @@
   std::string body;
 };
 
-// A response with its whole body.
+// A response with its complete body.
 struct Response {
   int status = 200;
   HeaderList headers;
   std::string body;
 };
 
-// The value of a header by its lower-case name; empty if there is none.
+// Returns the value of the first header with that lower-case name, or an empty
+// text if there is none.
 std::string_view FindHeader(const HeaderList& headers, std::string_view name);
 
-// The value of `name` in a query such as "a=1&b=2"; empty if there is none.
+// Returns the value of `name` in a query such as "a=1&b=2", or an empty text if
+// there is none. Does not decode percent escapes.
 std::string FindQueryValue(std::string_view query, std::string_view name);
 
 }  // namespace bramleyspan::http
--- a/Libraries/LibHTTP/Parser.cc
+++ b/Libraries/LibHTTP/Parser.cc
@@ -8,7 +8,8 @@
 #include <charconv>
 #include <vector>
 
-// The parser that libh2o exports; Debian ships its symbols without its header.
+// Declarations of picohttpparser. libh2o exports its symbols, but the Debian
+// package lacks its header.
 // NOLINTBEGIN(readability-identifier-naming)
 extern "C" {
 struct phr_header {
@@ -65,7 +66,8 @@
                     });
 }
 
-// Fails on a folded line, which old receivers join and new ones do not.
+// Returns nullopt if a header line is folded: receivers differ on whether they
+// join such lines (RFC 9112, section 5.2).
 std::optional<HeaderList> ToHeaderList(const RawHeaders& raw, size_t count) {
   HeaderList headers;
   for (size_t i = 0; i < count; ++i) {
@@ -83,7 +85,8 @@
   return headers;
 }
 
-// The one length that all Content-Length headers agree on.
+// The value of the Content-Length headers; invalid if they differ or are not
+// numbers.
 struct LengthHeaders {
   bool is_present = false;
   bool is_valid = true;
@@ -108,7 +111,8 @@
   return found;
 }
 
-// What the Transfer-Encoding headers say together.
+// The transfer coding of the Transfer-Encoding headers. is_chunked is true only
+// for a single header "chunked".
 struct TransferCoding {
   bool is_present = false;
   bool is_chunked = false;
--- a/Libraries/LibHTTP/Parser.h
+++ b/Libraries/LibHTTP/Parser.h
@@ -1,4 +1,4 @@
-// Parses HTTP/1 heads and bodies as h2o's own parser reads them.
+// Parses HTTP/1 heads and bodies with the parser that h2o uses.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,7 @@
 
 namespace bramleyspan::http {
 
-// The head of a request on a connection.
+// The start line and headers of a request, and the number of bytes they take.
 struct RequestHead {
   std::string method;
   std::string target;
@@ -21,7 +21,7 @@
   size_t bytes = 0;
 };
 
-// The head of an answer on a connection.
+// The status line and headers of an answer, and the number of bytes they take.
 struct AnswerHead {
   int status = 0;
   int minor_version = 1;
@@ -29,48 +29,49 @@
   size_t bytes = 0;
 };
 
-// Parses a request's head. Nothing yet if it is incomplete; fails with
-// kMalformedRequest.
+// Returns the request head at the start of `bytes`, or nullopt if it is
+// incomplete. Fails with kMalformedRequest.
 Result<std::optional<RequestHead>> ParseRequestHead(std::string_view bytes);
 
-// Parses an answer's head. Nothing yet if it is incomplete; fails with
-// kMalformedFrame.
+// Returns the answer head at the start of `bytes`, or nullopt if it is
+// incomplete. Fails with kMalformedFrame.
 Result<std::optional<AnswerHead>> ParseAnswerHead(std::string_view bytes);
 
-// How the end of a body shows.
+// How a receiver finds the end of a body.
 enum class BodyFraming { kNone, kLength, kChunked, kUntilClose };
 
-// How a body is framed, with its length where that is told.
+// The framing of a body. `length` is set for kLength only.
 struct MessageFraming {
   BodyFraming framing = BodyFraming::kNone;
   uint64_t length = 0;
 };
 
-// Fails with kMalformedRequest if the headers contradict each other: a sender
-// and a receiver that read them differently would split a request in two.
+// Returns the framing of a request body. Fails with kMalformedRequest if the
+// headers contradict each other: a sender and a receiver that interpret them
+// differently see different requests (request smuggling).
 Result<MessageFraming> FramingOfRequest(const RequestHead& head);
 
-// Fails with kMalformedFrame if the headers contradict each other.
+// Returns the framing of the body that answers a request with `method`. Fails
+// with kMalformedFrame if the headers contradict each other.
 Result<MessageFraming> FramingOfAnswer(const AnswerHead& head,
                                        std::string_view method);
 
-// Whether the connection may carry another message after this one.
+// Whether the connection persists after this message (RFC 9112, section 9.3).
 bool is_persistent(const HeaderList& headers, int minor_version);
 
-// Whether the comma-separated `value` contains `word`, ignoring case.
+// Whether the comma-separated list `value` contains `word`, ignoring case.
 bool has_token(std::string_view value, std::string_view word);
 
-// Reads a body out of a connection's bytes as they come.
+// Decodes a body incrementally from the bytes of a connection.
 class BodyReader {
  public:
   explicit BodyReader(MessageFraming message_framing = {});
 
-  // Consumes `input` and appends the body's bytes to `body`. Returns how many
-  // bytes of the input belonged to the body's coding. Fails with
-  // kMalformedFrame.
+  // Appends the decoded bytes of `input` to `body`. Returns the number of bytes
+  // of `input` that belong to the body. Fails with kMalformedFrame.
   Result<size_t> Read(std::string_view input, std::string& body);
 
-  // Whether the body's end was read.
+  // Whether the end of the body has been read.
   bool is_whole() const { return this->is_complete; }
 
   BodyFraming framing() const { return this->message_framing.framing; }
@@ -81,7 +82,7 @@
   MessageFraming message_framing;
   uint64_t remaining_bytes = 0;
   bool is_complete = false;
-  // The state of h2o's chunked decoder, see Parser.cc.
+  // The state of phr_chunked_decoder, see Parser.cc.
   size_t chunk_bytes_left = 0;
   char chunk_hex_digits = 0;
   char chunk_state = 0;
--- a/Libraries/LibHTTP/Server.cc
+++ b/Libraries/LibHTTP/Server.cc
@@ -11,17 +11,17 @@
 
 namespace {
 
-// The status that logs of other servers give a caller who closed early.
+// Status for a request whose caller disconnected, as nginx uses it in its logs.
 constexpr int kCallerClosedRequest = 499;
 
-// Lives in the request's memory pool and keeps the exchange until h2o has
-// freed the request.
+// Allocated in the memory pool of a request. Keeps the exchange alive until h2o
+// frees the request.
 struct Generator {
   h2o_generator_t super;
   std::shared_ptr<Exchange>* exchange;
 };
 
-// h2o's handler with a way back to the server that made it.
+// An h2o handler with a pointer to its server.
 struct HandlerSlot {
   h2o_handler_t super;
   void* server;
@@ -50,9 +50,9 @@
   }
 }
 
-// Whether the caller can tell a broken stream from a whole one. h2o chunks
-// answers of HTTP/1.1 with status 200 and 206 only; others end with the
-// connection, whole or not. HTTP/2 resets a broken stream.
+// Whether the caller can detect a truncated stream. h2o uses chunks only for
+// HTTP/1.1 answers with status 200 or 206. Other HTTP/1 streams end with the
+// connection, complete or not. HTTP/2 resets a truncated stream.
 bool can_show_truncation(const h2o_req_t& request, int status) {
   constexpr int kHttp11 = 0x101;
   if (request.version > kHttp11) {
@@ -115,8 +115,8 @@
   }
   this->SetHead(status, headers);
   this->StartGenerator();
-  // The head goes out at once: its arrival tells the caller that the request
-  // was taken, long before a slow back end writes its first byte.
+  // Sends the head immediately. It shows the caller that the request was
+  // accepted, long before a slow back end writes its first byte.
   this->is_sending = true;
   h2o_send(this->request, nullptr, 0, H2O_SEND_STATE_IN_PROGRESS);
 }
@@ -134,8 +134,8 @@
   }
   this->pending.append(bytes);
   this->Flush();
-  // A caller that reads slower than the engine writes would otherwise fill
-  // the memory of the process; its own answer is cut instead.
+  // Bounds the memory that a caller can use by reading more slowly than the
+  // back end writes. The caller's answer is truncated.
   if (this->pending.size() > this->max_pending_bytes) {
     this->Abandon();
   }
@@ -150,8 +150,8 @@
 }
 
 void Exchange::EndAs(End kind) {
-  // The first end stands: a stream that was cut off for a slow caller while
-  // bytes were on their way must not be finished as whole by its source.
+  // The first end is final. A stream that was truncated for a slow caller, with
+  // bytes still being sent, must not be ended as complete by its source.
   if (this->buffered_answer) {
     this->EndBuffered(kind);
     return;
@@ -280,9 +280,9 @@
     this->listener = nullptr;
   }
 
-  // h2o does not read from a connection while its answer is pending, so that
-  // a caller who leaves is not seen before the next write. Without this check
-  // the engine would work on for callers that are gone.
+  // h2o does not read from a connection while an answer is pending, so it
+  // detects a closed connection only at the next write. Without this check,
+  // back ends keep working for callers that have disconnected.
   void CheckForDisconnects() {
     const auto open = this->exchanges;
     for (const auto& exchange : open) {
@@ -304,8 +304,8 @@
     };
     auto exchange =
         std::make_shared<Exchange>(request, this->limits.max_pending_bytes);
-    // h2o tells nobody when a connection closes before the answer has begun;
-    // the disposal of the request's pool is the one event that always comes.
+    // h2o reports no event if a connection closes before the answer has
+    // started. The disposal of the request's memory pool always happens.
     new (h2o_mem_alloc_shared(
         &request->pool, sizeof(DisposalHook), [](void* memory) {
           auto* hook = static_cast<DisposalHook*>(memory);
@@ -358,8 +358,8 @@
 
 Server::~Server() {
   this->internals->StopServing();
-  // h2o's connections and timers refer to the context until the loop itself
-  // is gone, so that its memory is left to the loop.
+  // h2o's connections and timers refer to the context until the event loop is
+  // destroyed, so the context is never freed.
   static_cast<void>(this->internals.release());
 }
 
--- a/Libraries/LibHTTP/Server.h
+++ b/Libraries/LibHTTP/Server.h
@@ -15,37 +15,38 @@
 
 namespace bramleyspan::http {
 
-// One request with the way to answer it. It outlives its connection, so that
-// a late answer meets a closed exchange instead of freed memory.
+// One request and its answer. It may outlive its connection, in which case
+// calls have no effect.
 class Exchange : public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(h2o_req_t* request, size_t max_pending_bytes)
       : request(request), max_pending_bytes(max_pending_bytes) {}
 
-  // Sends the whole answer.
+  // Sends a complete answer.
   void Respond(const Response& response);
 
-  // Sends the head of a streamed answer. Where the protocol cannot show that
-  // such an answer broke off, it is held back until its end is known; one that
-  // breaks off becomes a 502 then.
+  // Sends the head of a streamed answer. If the protocol cannot signal that the
+  // answer is truncated, buffers it until it ends; if it is then aborted, sends
+  // status 502 instead.
   void StartStream(int status, const HeaderList& headers);
 
   // Sends a part of a streamed answer.
   void Write(std::string_view bytes);
 
-  // Ends a streamed answer as whole.
+  // Ends a streamed answer as complete.
   void Finish();
 
-  // Ends a streamed answer so that the caller sees it as truncated.
+  // Ends a streamed answer such that the caller detects that it is truncated.
   void Abort();
 
-  // Calls `callback` if the caller leaves before the answer has ended.
+  // Calls `callback` if the caller disconnects, or reads too slowly, before the
+  // answer has ended.
   void OnDisconnect(std::function<void()> callback);
 
-  // Whether nothing more can reach the caller.
+  // Whether the answer has ended or the connection is closed.
   bool is_closed() const { return this->request == nullptr; }
 
-  // Bytes that wait because the caller reads slowly.
+  // Returns the bytes that are buffered because the caller reads slowly.
   size_t pending_bytes() const { return this->pending.size(); }
 
  private:
@@ -63,7 +64,7 @@
   void Abandon();
 
   h2o_req_t* request;
-  // A streamed answer that is held back until its end is known.
+  // A streamed answer that is sent only when its end is known.
   std::optional<Response> buffered_answer;
   size_t max_pending_bytes;
   std::string pending;
@@ -73,17 +74,18 @@
   bool is_sending = false;
 };
 
-// Bounds of what a server takes from callers.
+// Limits on requests and on buffered answers.
 struct ServerLimits {
   size_t max_body_bytes = 1 << 20;
   std::chrono::milliseconds request_timeout{10'000};
-  // Bytes of an answer that may wait for a caller that reads slowly.
+  // Bytes of an answer that may be buffered for a slow caller. Beyond this the
+  // answer is truncated.
   size_t max_pending_bytes = 4 << 20;
-  // How often connections are checked for callers that have left.
+  // Interval of the check for callers that have disconnected.
   std::chrono::milliseconds disconnect_check_interval{250};
 };
 
-// Serves every path of one address through one handler.
+// Passes all requests at one address to one handler.
 class Server {
  public:
   using Handler =
@@ -98,16 +100,18 @@
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
-  // Closes each kept connection after its next answer; still takes new ones.
+  // Closes each persistent connection after its next answer. Still accepts new
+  // connections.
   void ClosePersistentConnections();
 
-  // Takes no new connection and closes each kept one after its answer.
+  // Stops listening and closes each persistent connection after its next
+  // answer.
   void Drain();
 
-  // The port bound, which the system chose if port 0 was asked for.
+  // Returns the bound port. The system chooses it if port 0 was requested.
   uint16_t port() const;
 
-  // Requests whose answer has not ended.
+  // Returns the number of requests whose answer has not ended.
   size_t open_exchanges() const;
 
  private:
--- a/Tests/LibHTTP/Fixture.h
+++ b/Tests/LibHTTP/Fixture.h
@@ -1,4 +1,4 @@
-// A server and what the tests need to speak to it on one loop.
+// A server and clients for tests, all on one event loop.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -12,7 +12,7 @@
 
 namespace bramleyspan::http {
 
-// A server on a port of the system's choice.
+// A server on a port that the system chooses, and a client.
 struct Fixture {
   EventLoop loop;
   Client client{loop};
@@ -27,7 +27,7 @@
 
   Address address() const { return {"127.0.0.1", this->server->port()}; }
 
-  // Fetches and runs the loop until the outcome is there.
+  // Sends a request and runs the loop until its outcome is known.
   Result<Response> Fetch(ClientRequest request) {
     request.target = this->address();
     Result<Response> outcome = Fail(ErrorCode::kUnavailable, "test");
@@ -44,7 +44,8 @@
   }
 };
 
-// A socket that sends raw bytes and hears until the server closes.
+// A client that sends raw bytes and receives until the server closes the
+// connection.
 class RawCaller {
  public:
   RawCaller(EventLoop& loop, const Address& address, std::string bytes)
--- a/Tests/LibHTTP/TestClient.cc
+++ b/Tests/LibHTTP/TestClient.cc
@@ -2,9 +2,9 @@
 
 namespace bramleyspan::http {
 
-// A caller is told "may have run" for a request that never left: a refused
-// connection and a lost answer must have different types.
-TEST_CASE("a refused connection has its own type") {
+// Guards against reporting "may have run" for a request that was never sent: a
+// refused connection and a lost answer must give different error codes.
+TEST_CASE("a refused connection is reported as kConnectionFailed") {
   Fixture fixture;
   fixture.Serve(
       [](const Request&, const auto& exchange) { exchange->Respond({}); });
@@ -21,7 +21,7 @@
   CHECK(outcome.error().code == ErrorCode::kConnectionFailed);
 }
 
-TEST_CASE("an answer that does not come in time has its own type") {
+TEST_CASE("an answer that is not received in time is reported as kTimeout") {
   Fixture fixture;
   std::shared_ptr<Exchange> held;
   fixture.Serve([&](const Request&, const auto& exchange) { held = exchange; });
@@ -30,7 +30,7 @@
   CHECK(answer.error().code == ErrorCode::kTimeout);
 }
 
-TEST_CASE("a kept connection carries many requests") {
+TEST_CASE("a persistent connection carries many requests") {
   Fixture fixture;
   int served = 0;
   fixture.Serve([&](const Request&, const auto& exchange) {
--- a/Tests/LibHTTP/TestIngress.cc
+++ b/Tests/LibHTTP/TestIngress.cc
@@ -10,7 +10,8 @@
 
 namespace {
 
-// An ingress on a port of the system's choice, and raw callers before it.
+// An ingress on a port that the system chooses. Records the requests that reach
+// its handler.
 struct IngressFixture {
   EventLoop loop;
   std::unique_ptr<Ingress> ingress;
@@ -31,7 +32,8 @@
 
   Address address() const { return {"127.0.0.1", this->ingress->port()}; }
 
-  // What a caller hears that sends these bytes, until the server closes.
+  // Sends these bytes and returns all that is received until the server closes
+  // the connection.
   std::string Exchange(const std::string& bytes) {
     RawCaller caller(this->loop, this->address(), bytes);
     this->loop.Run();
@@ -44,7 +46,7 @@
   exchange->Respond(200, {}, request.path + "|" + request.body);
 }
 
-// A server that answers whatever comes with the same bytes.
+// A server that answers any input with the same bytes.
 struct RawServer {
   RawServer(EventLoop& loop, std::string answer, bool is_closing)
       : answer(std::move(answer)), is_closing(is_closing) {
@@ -80,7 +82,7 @@
   std::unique_ptr<Listener> listener;
 };
 
-// How a call ends to which a server answers with these bytes.
+// Returns how a call ends if the server answers with these bytes.
 CallEnd EndOf(const std::string& answer, bool is_closing, std::string& body) {
   EventLoop loop;
   RawServer server(loop, answer, is_closing);
@@ -119,9 +121,11 @@
   CHECK(fixture.seen[1].host == "h");
 }
 
-// Story: a request that hid a second one in its body had that one run under
-// another caller's key. Two ends had read its length in two ways.
-TEST_CASE("A request whose length is told in two ways is refused and ends") {
+// Guards against request smuggling: if proxy and back end determine the length
+// of a body differently, a second request hidden in the body runs with another
+// caller's key.
+TEST_CASE(
+    "A request with contradictory lengths is refused and ends the connection") {
   for (const std::string head :
        {"content-length: 5\r\ntransfer-encoding: chunked\r\n",
         "content-length: 5\r\ncontent-length: 6\r\n",
@@ -138,10 +142,10 @@
   }
 }
 
-// Story: a port scanner spoke TLS and HTTP/2 to the callers' port, and a broken
-// client cut its bodies short. Whatever such bytes are, they are no request,
-// and the callers beside them notice nothing.
-TEST_CASE("Bytes of another protocol and broken bodies are no request") {
+// Port scanners send TLS and HTTP/2 to this port, and faulty clients send
+// malformed bodies. None of this must reach the handler or affect other
+// callers.
+TEST_CASE("Bytes of other protocols and malformed bodies reach no handler") {
   for (const std::string& bytes : std::vector<std::string>{
            std::string("\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03", 11),
            std::string("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"),
@@ -171,9 +175,9 @@
   }
 }
 
-// The same with bytes that nobody thought of: each either is no request or is
-// one that was sent whole.
-TEST_CASE("Seeded damage to a request never makes another request of it") {
+// A request with one random byte replaced reaches the handler at most once,
+// with a body no longer than the original.
+TEST_CASE("A request with a seeded random byte never becomes two requests") {
   const std::string whole =
       "POST /pay HTTP/1.1\r\nhost: h\r\ncontent-length: 5\r\n"
       "connection: close\r\n\r\nhello";
@@ -209,15 +213,16 @@
             .starts_with("HTTP/1.1 413"));
 }
 
-TEST_CASE("A head that does not end in time is refused with 408") {
+TEST_CASE("A head that is not complete in time is refused with 408") {
   IngressFixture fixture;
   fixture.Serve(Echo, {.head_timeout = std::chrono::milliseconds(100)});
   CHECK(
       fixture.Exchange("GET / HTTP/1.1\r\nhost:").starts_with("HTTP/1.1 408"));
 }
 
-// Story: a model server worked for seconds on requests whose callers had left.
-TEST_CASE("A caller that leaves is noticed while its answer is pending") {
+// Guards against model servers working for seconds on requests whose callers
+// have disconnected.
+TEST_CASE("A caller's disconnect is detected while its answer is pending") {
   IngressFixture fixture;
   bool is_disconnected = false;
   std::shared_ptr<IngressExchange> kept;
@@ -239,7 +244,7 @@
   kept->Respond(200, {}, "late");
 }
 
-TEST_CASE("An aborted stream does not look whole") {
+TEST_CASE("An aborted stream does not end with the last chunk") {
   IngressFixture fixture;
   fixture.Serve([](const IngressRequest&,
                    const std::shared_ptr<IngressExchange>& exchange) {
@@ -251,7 +256,7 @@
   CHECK(received.find("\r\n0\r\n\r\n") == std::string::npos);
 }
 
-TEST_CASE("A draining server ends each connection after its answer") {
+TEST_CASE("A draining server closes each connection after its answer") {
   IngressFixture fixture;
   fixture.Serve(Echo);
   fixture.ingress->StartDrain();
@@ -260,8 +265,7 @@
   CHECK(received.find("/a|") != std::string::npos);
 }
 
-TEST_CASE(
-    "Only an answer that is whole and followed by nothing ends as whole") {
+TEST_CASE("A complete answer ends as kWhole without the bytes that follow it") {
   std::string body;
   CHECK(EndOf("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok", false, body) ==
         CallEnd::kWhole);
@@ -276,9 +280,9 @@
   CHECK(EndOf("HTTP/1.1 200 OK\r\n\r\nok", true, body) == CallEnd::kWhole);
 }
 
-// Story: half an invoice came with status 200. The server had died while it
-// wrote, and the shorter answer had looked like a whole one.
-TEST_CASE("Answers that break off or are none are told apart") {
+// Guards against taking a truncated answer for a complete one: a server died
+// while it wrote an answer with status 200.
+TEST_CASE("Each kind of failed answer ends with its own outcome") {
   CHECK(EndOf("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf", true) ==
         CallEnd::kTruncated);
   CHECK(
@@ -292,7 +296,7 @@
   CHECK(EndOf("HTTP/1.1 200", false) == CallEnd::kTimeout);
 }
 
-TEST_CASE("A call that was never connected says that nothing was sent") {
+TEST_CASE("A call that never connected ends as kNotSent") {
   EventLoop loop;
   CallEnd outcome = CallEnd::kWhole;
   DirectCall::Fetch(loop, {.target = {"127.0.0.1", 1}},
--- a/Tests/LibHTTP/TestServer.cc
+++ b/Tests/LibHTTP/TestServer.cc
@@ -4,7 +4,7 @@
 
 namespace bramleyspan::http {
 
-TEST_CASE("a request and its answer arrive whole") {
+TEST_CASE("a request and its answer arrive unchanged") {
   Fixture fixture;
   fixture.Serve([](const Request& request, const auto& exchange) {
     exchange->Respond({.status = 200,
@@ -18,9 +18,9 @@
   CHECK(FindHeader(answer.value().headers, "x-query") == "b=c");
 }
 
-// A lecturer reads half a notice as if it were whole: the answer broke off
-// behind the entry and the end looked like an ordinary one.
-TEST_CASE("an aborted stream shows as truncated") {
+// Guards against an answer that is truncated behind the entry and looks
+// complete to the caller.
+TEST_CASE("an aborted stream is reported as truncated") {
   Fixture fixture;
   fixture.Serve([](const Request&, const auto& exchange) {
     exchange->StartStream(200, {});
@@ -32,10 +32,10 @@
   CHECK(answer.error().code == ErrorCode::kTruncated);
 }
 
-// A confirmation with status 201 breaks off half-way and the caller takes the
-// half for the whole: h2o sends chunks for 200 and 206 only, and ends all other
-// streams by closing the connection, which is also how a whole one ends.
-TEST_CASE("an aborted stream of any status never shows as whole") {
+// Guards against truncated answers of other statuses that look complete: h2o
+// uses chunks for 200 and 206 only and ends all other streams by closing the
+// connection, whether they are complete or not.
+TEST_CASE("an aborted stream of any status never looks complete") {
   for (const int status : {200, 201, 404, 503}) {
     Fixture fixture;
     fixture.Serve([status](const Request&, const auto& exchange) {
@@ -48,7 +48,7 @@
   }
 }
 
-TEST_CASE("a stream of any status arrives whole") {
+TEST_CASE("a stream of any status arrives complete") {
   for (const int status : {200, 201, 404, 503}) {
     Fixture fixture;
     fixture.Serve([status](const Request&, const auto& exchange) {
@@ -64,10 +64,10 @@
   }
 }
 
-// The engine works on for callers that have closed their connection, and
-// those who wait are served late: a closed connection is not seen before the
-// next write, and a queued request writes nothing.
-TEST_CASE("a caller that leaves before its answer has begun is noticed") {
+// Guards against back ends working for callers that have disconnected: h2o
+// detects a closed connection only at the next write, and a queued request
+// writes nothing.
+TEST_CASE("a disconnect before the start of the answer is detected") {
   Fixture fixture;
   std::unique_ptr<RawCaller> caller;
   std::shared_ptr<Exchange> held;
@@ -90,9 +90,9 @@
   CHECK(held->is_closed());
 }
 
-// One caller reads nothing while its stream goes on, and the process grows
-// until the machine kills it together with everybody else's answers.
-TEST_CASE("a caller that reads too slowly is cut off") {
+// Guards against unbounded memory use: without a bound, the stream to a caller
+// that reads nothing grows until the system kills the process.
+TEST_CASE("the answer to a caller that reads too slowly is truncated") {
   Fixture fixture;
   bool is_disconnected = false;
   fixture.Serve(
@@ -111,7 +111,7 @@
   CHECK(is_disconnected);
 }
 
-TEST_CASE("a body over the bound is refused with its status") {
+TEST_CASE("a body over the limit is refused with 413") {
   Fixture fixture;
   fixture.Serve(
       [](const Request&, const auto& exchange) { exchange->Respond({}); },
@@ -122,7 +122,7 @@
   CHECK(answer.value().status == 413);
 }
 
-TEST_CASE("seeded random bytes close the connection and hurt nobody else") {
+TEST_CASE("seeded random bytes do not affect other connections") {
   Fixture fixture;
   fixture.Serve([](const Request&, const auto& exchange) {
     exchange->Respond({.body = "fine"});
