--- a/Libraries/LibTelemetry/Log.cc
+++ b/Libraries/LibTelemetry/Log.cc
@@ -20,16 +20,16 @@
 constexpr std::array<std::string_view, 4> kLevelNames{"debug", "info",
                                                       "warning", "error"};
 
-// Records of one kind that are written in a second. What a request goes
-// through is many lines under load, and the lines that tell of failures and of
-// changed beliefs must not be starved by those that tell of success.
+// Records of one event that are written per second. Under load the records of
+// ordinary requests would crowd out those of failures and state changes, so
+// each event has its own budget.
 constexpr uint32_t kInfoPerSecond = 50;
 constexpr uint32_t kWarningsPerSecond = 100;
 
-// Bytes that a pipe takes whole if it takes any.
+// A write of up to this size to a pipe is atomic (PIPE_BUF on Linux).
 constexpr size_t kAtomicPipeBytes = 4096;
 
-// What one kind of record has used of its present second.
+// The use of one event's budget in the second that starts at `second`.
 struct EventBudget {
   std::chrono::steady_clock::time_point second;
   uint32_t written = 0;
@@ -48,9 +48,9 @@
   return state;
 }
 
-// Writes whole lines to standard output and never waits for its reader: a
-// pipe that is full loses the line, since a process that waits for its log
-// answers nobody.
+// Writes complete lines to standard output without blocking. If the pipe is
+// full the line is dropped, since a process blocked on its log serves no
+// requests.
 class LineWriter : public el::LogDispatchCallback {
  protected:
   void handle(const el::LogDispatchData* data) override {
@@ -65,8 +65,9 @@
   }
 };
 
-// Whether the budget of a kind has a record left; begins a new second where
-// one is over and gives the count of those left out before.
+// Takes one record from the budget of an event and returns whether one was
+// left. If a new second starts, sets `suppressed` to the number of records that
+// were suppressed before.
 bool TakeFromBudget(LogLevel level,
                     std::string_view event,
                     uint64_t& suppressed) {
--- a/Libraries/LibTelemetry/Log.h
+++ b/Libraries/LibTelemetry/Log.h
@@ -1,4 +1,4 @@
-// Structured logs: each record is one line of JSON on standard output.
+// Structured logging. Each record is one line of JSON on standard output.
 #pragma once
 
 #include <functional>
@@ -19,25 +19,26 @@
   std::string value;
 };
 
-// The lowest level that is written, for all modules but those named.
+// The lowest level that is written: by module, and for all other modules.
 struct LogFilter {
   LogLevel min_level = LogLevel::kInfo;
   std::map<std::string, LogLevel, std::less<>> modules;
 };
 
-// Prepares the log of this process.
+// Sets the process name and filter of all further records.
 void StartLog(std::string_view process, LogFilter filter);
 
-// Parses "info" or "warning,links=debug,calls=info". The levels are debug,
-// info, warning and error. Fails with kInvalidSetting.
+// Parses a filter such as "info" or "warning,links=debug,calls=info". The
+// levels are debug, info, warning and error. Fails with kInvalidSetting.
 Result<LogFilter> ParseLogFilter(const std::string& text);
 
-// Whether a record of a module and level is written.
+// Whether the filter allows records of this level and module.
 bool is_logged(const LogFilter& filter,
                LogLevel level,
                std::string_view module);
 
-// Writes one record.
+// Writes one record. Omits it if the filter excludes it, if too many records of
+// this event were written within a second, or if standard output is blocked.
 void Log(LogLevel level,
          std::string_view module,
          std::string_view event,
--- a/Libraries/LibTelemetry/Metrics.cc
+++ b/Libraries/LibTelemetry/Metrics.cc
@@ -24,7 +24,8 @@
   return registry;
 }
 
-// Bounds that tell apart the users' limits: 28 ms, 0.84 s and the deadlines.
+// Bucket bounds in seconds. They include the users' latency limits of 28 ms and
+// 0.84 s, and cover the range of the deadlines.
 const prometheus::Histogram::BucketBoundaries& Buckets() {
   static const prometheus::Histogram::BucketBoundaries buckets{
       0.0005, 0.001, 0.0025, 0.005, 0.01, 0.028, 0.05, 0.1,
--- a/Libraries/LibTelemetry/Metrics.h
+++ b/Libraries/LibTelemetry/Metrics.h
@@ -1,4 +1,4 @@
-// The metrics of this process in Prometheus' text format.
+// The metrics of this process, in the Prometheus text format.
 #pragma once
 
 #include <map>
@@ -9,25 +9,26 @@
 
 namespace bramleyspan::telemetry {
 
-// Names the values of a metric's labels.
+// Label names of a metric and their values.
 using Labels = std::map<std::string, std::string>;
 
-// A metric's name and what it counts, with its unit in the name.
+// The name of a metric, which includes its unit, and its help text.
 struct MetricName {
   std::string_view name;
   std::string_view help;
 };
 
-// Adds to a counter.
+// Adds `amount` to a counter.
 void Count(const MetricName& metric, const Labels& labels, double amount = 1);
 
-// Sets a gauge.
+// Sets a gauge to `value`.
 void SetGauge(const MetricName& metric, const Labels& labels, double value);
 
-// Records how long something took, in a histogram of seconds.
+// Records a duration in a histogram of seconds.
 void Observe(const MetricName& metric, const Labels& labels, Duration time);
 
-// All metrics, with the processor time and resident memory of this process.
+// Returns all metrics as text, including the processor time and resident memory
+// of this process.
 std::string SerializeMetrics();
 
 }  // namespace bramleyspan::telemetry
--- a/Libraries/LibWire/Codec.h
+++ b/Libraries/LibWire/Codec.h
@@ -1,4 +1,4 @@
-// Frames as bytes and back.
+// Encodes and decodes frames.
 #pragma once
 
 #include <cstddef>
@@ -10,18 +10,19 @@
 
 namespace bramleyspan::wire {
 
-// The largest frame that a connection takes. A frame carries at most one
+// The largest frame that a connection accepts. A frame carries at most one
 // catalogue shard or one request body.
 inline constexpr size_t kMaxFrameBytes = 4 << 20;
 
-// Bytes of the length that stands before each frame, little-endian.
+// Size of the length that precedes each frame, in little-endian order.
 inline constexpr size_t kLengthPrefixBytes = 4;
 
-// Serializes a message with the length before it.
+// Returns a message as a frame, preceded by its length.
 template <typename Message>
 std::string Encode(Message message);
 
-// Parses one frame without its length. Fails with kMalformedFrame.
+// Returns the frame that `bytes`, without the length prefix, contains. Fails
+// with kMalformedFrame.
 Result<FrameT> Decode(std::string_view bytes);
 
 namespace detail {
--- a/Libraries/LibWire/Connection.cc
+++ b/Libraries/LibWire/Connection.cc
@@ -96,9 +96,9 @@
   MutableTotalBytes().sent += frame.size();
   this->pending += frame;
   this->Flush();
-  // A frozen peer reads nothing, and what waits for it would fill the memory
-  // of this process. The end is heard through the loop, not inside Send, since
-  // senders walk over their connections while they send.
+  // Bounds the memory that is queued for a peer that reads nothing. The socket
+  // is only shut down here, and `on_closed` follows from the event loop, since
+  // callers of Send may be iterating over their connections.
   if (this->is_connected && this->pending.size() > kMaxPendingBytes) {
     ::shutdown(h2o_socket_get_fd(this->socket), SHUT_RDWR);
   }
@@ -138,7 +138,8 @@
     if ((*input)->size < kLengthPrefixBytes + length) {
       return;
     }
-    // The verifier needs aligned memory, which a slice of the input is not.
+    // The FlatBuffers verifier requires aligned memory, and a frame inside the
+    // input buffer may be unaligned.
     const std::string bytes((*input)->bytes + kLengthPrefixBytes, length);
     h2o_buffer_consume(input, kLengthPrefixBytes + length);
     MutableTotalBytes().received += kLengthPrefixBytes + length;
--- a/Libraries/LibWire/Connection.h
+++ b/Libraries/LibWire/Connection.h
@@ -13,52 +13,53 @@
 
 class Connection;
 
-// Bytes of all frames that this process has sent and received, for the budget
-// of each node.
+// Bytes of all frames that this process has sent and received. Metrics report
+// them, since each node has a traffic budget.
 struct ByteTotals {
   uint64_t sent = 0;
   uint64_t received = 0;
 };
+
 const ByteTotals& TotalBytes();
 
-// Bytes that may wait for a peer before the connection is given up.
+// Bytes that may be queued for a peer before the connection is closed.
 inline constexpr size_t kMaxPendingBytes = 32 << 20;
 
-// What a connection's owner hears. `on_closed` comes once, last.
+// Callbacks of a connection. `on_closed` is called once, as the last one.
 struct ConnectionEvents {
   std::function<void(Connection&)> on_open;
   std::function<void(Connection&, FrameT)> on_frame;
   std::function<void(Connection&, Error)> on_closed;
 };
 
-// Sends and receives frames in order. It closes itself on the first frame that
-// does not verify, since nothing after it can be trusted.
+// Sends and receives frames in order. Closes itself on the first frame that
+// fails verification, since the bytes after it cannot be trusted.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
-  // Takes over an accepted socket.
+  // Takes ownership of an accepted socket and starts to read.
   static std::shared_ptr<Connection> Accept(h2o_socket_t* socket,
                                             ConnectionEvents events);
 
-  // Starts to connect; `on_open` or `on_closed` tells the outcome.
+  // Starts to connect. `on_open` or `on_closed` reports the outcome.
   static std::shared_ptr<Connection> Connect(EventLoop& loop,
                                              const Address& address,
                                              ConnectionEvents events);
   ~Connection();
 
-  // Queues an encoded frame; does nothing on a closed connection.
+  // Queues an encoded frame. Does nothing if the connection is closed.
   void Send(const std::string& frame);
 
-  // Closes without `on_closed`.
+  // Closes the connection without calling `on_closed`.
   void Close();
 
   bool is_open() const { return this->is_connected; }
 
-  // Bytes that the peer has not taken yet.
+  // Returns the bytes that are not yet written to the socket.
   size_t pending_bytes() const {
     return this->pending.size() + this->in_flight.size();
   }
 
-  // Distinguishes this connection from every other that this process had.
+  // Unique among all connections of this process.
   const uint64_t id = NextId();
 
  private:
--- a/Tests/LibTelemetry/TestTelemetry.cc
+++ b/Tests/LibTelemetry/TestTelemetry.cc
@@ -5,7 +5,7 @@
 
 namespace bramleyspan::telemetry {
 
-TEST_CASE("levels can be set for one module") {
+TEST_CASE("a log level can be set for one module") {
   const auto filter = ParseLogFilter("warning,links=debug");
   REQUIRE(filter.has_value());
   CHECK(is_logged(filter.value(), LogLevel::kDebug, "links"));
@@ -13,14 +13,14 @@
   CHECK(is_logged(filter.value(), LogLevel::kError, "calls"));
 }
 
-TEST_CASE("an unknown level is refused") {
+TEST_CASE("an unknown log level is refused") {
   const auto filter = ParseLogFilter("info,links=loud");
   REQUIRE(filter.has_error());
   CHECK(filter.error().code == ErrorCode::kInvalidSetting);
   CHECK(filter.error().subject == "loud");
 }
 
-TEST_CASE("metrics are in the text format") {
+TEST_CASE("metrics are serialized in the Prometheus text format") {
   Count({"test_calls_total", "Calls."}, {{"entry", "draft"}}, 2);
   Count({"test_calls_total", "Calls."}, {{"entry", "draft"}});
   Observe({"test_seconds", "Time."}, {}, std::chrono::milliseconds(20));
--- a/Tests/LibWire/TestCodec.cc
+++ b/Tests/LibWire/TestCodec.cc
@@ -4,7 +4,7 @@
 
 namespace bramleyspan::wire {
 
-TEST_CASE("a message survives the way through a frame") {
+TEST_CASE("a message is unchanged after encoding and decoding") {
   CallT call;
   call.call = 7;
   call.body = std::string("a\0b", 3);
@@ -15,7 +15,7 @@
   CHECK(frame.value().body.AsCall()->body == std::string("a\0b", 3));
 }
 
-TEST_CASE("a truncated frame is refused with a type") {
+TEST_CASE("a truncated frame is refused as kMalformedFrame") {
   const std::string bytes = Encode(LeavingT{});
   const auto frame =
       Decode(std::string_view(bytes).substr(kLengthPrefixBytes, 9));
--- a/Tests/LibWire/TestConnection.cc
+++ b/Tests/LibWire/TestConnection.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Accepts one connection and records what it hears.
+// Accepts a connection and records its frames and its closing.
 struct Peer {
   EventLoop loop;
   std::shared_ptr<Connection> accepted;
@@ -70,20 +70,20 @@
   }
 }
 
-TEST_CASE("a frame that claims to be too long closes the connection") {
+TEST_CASE("a frame length over the limit closes the connection") {
   Peer peer;
   CHECK(peer.SendUntilClosed("\xff\xff\xff\xff").code ==
         ErrorCode::kMalformedFrame);
 }
 
-TEST_CASE("bytes that do not verify close the connection") {
+TEST_CASE("a frame that fails verification closes the connection") {
   Peer peer;
   const std::string length("\x08\x00\x00\x00", kLengthPrefixBytes);
   CHECK(peer.SendUntilClosed(length + "notframe").code ==
         ErrorCode::kMalformedFrame);
 }
 
-TEST_CASE("seeded random changes to a frame are refused or decode") {
+TEST_CASE("frames with seeded random changes are refused or decoded") {
   CallT call;
   call.call = 7;
   call.owner = "studio-huber";
@@ -101,9 +101,9 @@
   CHECK(refused > 10'000);
 }
 
-// One agent is frozen; what its entry sends to it piles up until the entry is
-// killed for its memory, together with the calls of everybody else.
-TEST_CASE("a peer that reads nothing is given up") {
+// Guards against unbounded memory use: without a bound, frames queued for a
+// frozen agent grow until the system kills the entry.
+TEST_CASE("a connection to a peer that reads nothing is closed") {
   EventLoop loop;
   h2o_socket_t* unread = nullptr;
   auto listener = Listener::Listen(
