--- a/Libraries/LibCalls/AgentCalls.cc
+++ b/Libraries/LibCalls/AgentCalls.cc
@@ -28,7 +28,7 @@
           SendBytes{to, answer.body}, SendEnd{to, {}}};
 }
 
-SendEnd EndWithoutKeptAnswer(const Recipient& to) {
+SendEnd EndWithoutStoredAnswer(const Recipient& to) {
   return End(to, Verdict::kUnknown, ErrorCode::kAnswerGone,
              "the call ran to its end, but its answer is not kept any more");
 }
@@ -55,8 +55,9 @@
   return {StartForward{id}};
 }
 
-// A caller that gave up and asked again, perhaps through another entry, gets
-// the answer of the first attempt instead of an "unknown".
+// Adds a duplicate call as a waiter of the running one. A caller that retries,
+// perhaps through another entry, then receives the answer of its first attempt
+// instead of kUnknown.
 Effects AddWaiter(AgentCalls& calls,
                   const CallRequest& request,
                   TimePoint now) {
@@ -80,7 +81,8 @@
       now)) {
     case ClaimDecision::kRun:
       if (calls.is_leaving) {
-        // Burnt first: a late duplicate must not run after "not run".
+        // The key is invalidated first, so that a late duplicate cannot run
+        // after kNotRun was reported.
         claims::RefuseClaim(calls.claims, request.claim);
         return {End(from, Verdict::kNotRun, ErrorCode::kLeaving,
                     "the target is leaving; take a new key", retry_after)};
@@ -92,7 +94,7 @@
       return SendStoredAnswer(
           from, claims::FindClaim(calls.claims, request.claim)->answer);
     case ClaimDecision::kIsAnswerGone:
-      return {EndWithoutKeptAnswer(from)};
+      return {EndWithoutStoredAnswer(from)};
     case ClaimDecision::kIsRefused:
       return {End(from, Verdict::kNotRun, ErrorCode::kClaimRefused,
                   "the key was refused before; take a new one", retry_after)};
@@ -113,9 +115,10 @@
   return {};
 }
 
-// An event stream that lacks its last event looks complete to HTTP when the
-// engine dies between two chunks and its kernel closes the connection. So does
-// every answer without a length. Neither is passed on as whole.
+// Whether an answer that HTTP considers complete is really complete. If a model
+// server dies between two chunks and the operating system closes its
+// connection, an event stream without its last event looks complete, and so
+// does any answer without a length.
 bool is_whole(const ForwardedCall& forwarded) {
   if (forwarded.is_chat &&
       forwarded.answer.content_type.starts_with(kEventStream)) {
@@ -144,7 +147,9 @@
           calls.settings.retry_after};
 }
 
-void SettleClaim(AgentCalls& calls, ForwardedCall& forwarded, Verdict verdict) {
+void RecordClaimOutcome(AgentCalls& calls,
+                        ForwardedCall& forwarded,
+                        Verdict verdict) {
   if (forwarded.claim.empty()) {
     return;
   }
@@ -162,13 +167,14 @@
   std::move(more.begin(), more.end(), std::back_inserter(effects));
 }
 
-// A waiter has seen no part of the answer: to it a truncated one is unknown.
+// Returns the effects that end a waiter. It has received no part of the answer,
+// so kTruncated becomes kUnknown.
 Effects EndWaiter(const ForwardedCall& forwarded,
                   const Waiter& waiter,
                   const Ending& ending) {
   if (ending.verdict == Verdict::kWhole) {
     return forwarded.answer.is_too_large
-               ? Effects{EndWithoutKeptAnswer(waiter.to)}
+               ? Effects{EndWithoutStoredAnswer(waiter.to)}
                : SendStoredAnswer(waiter.to, forwarded.answer);
   }
   Ending seen = ending;
@@ -179,13 +185,13 @@
   return {SendEnd{waiter.to, std::move(seen)}};
 }
 
-// The claim is settled before anybody hears of the end, so that whoever acts
-// on what it hears finds the key settled.
+// Ends a call for its recipient and all waiters. The state of the claim key is
+// updated first, so that a caller that reacts to the end finds the key updated.
 Effects EndForward(AgentCalls& calls, uint64_t id, const Ending& ending) {
   const auto found = calls.forwarded.find(id);
   ForwardedCall forwarded = std::move(found->second);
   calls.forwarded.erase(found);
-  SettleClaim(calls, forwarded, ending.verdict);
+  RecordClaimOutcome(calls, forwarded, ending.verdict);
   Effects effects;
   if (forwarded.recipient) {
     effects.emplace_back(SendEnd{*forwarded.recipient, ending});
@@ -196,8 +202,9 @@
   return effects;
 }
 
-// What may not be repeated is never cancelled half-way: its answer is kept for
-// the caller who asks again with the same key.
+// Removes the recipient of a call and cancels the call if it may be repeated. A
+// call with a claim key continues, and its answer is stored for the caller that
+// retries with the same key.
 Effects DropRecipient(AgentCalls& calls, uint64_t id) {
   ForwardedCall& forwarded = calls.forwarded.at(id);
   forwarded.recipient.reset();
@@ -240,8 +247,9 @@
   return effects;
 }
 
-// When a back end that keeps silent loses the call.
-TimePoint TimeoutOf(const AgentCalls& calls, const ForwardedCall& forwarded) {
+// Returns when a call ends if the back end stays unresponsive.
+TimePoint ForwardDeadline(const AgentCalls& calls,
+                          const ForwardedCall& forwarded) {
   if (forwarded.has_head) {
     return forwarded.last_received + calls.settings.max_answer_gap;
   }
@@ -255,12 +263,13 @@
          forwarded.first_byte_by <= now;
 }
 
-// A frozen back end must hold no caller beyond its deadline. A call that may
-// not be repeated runs on for whoever asks again.
+// Ends callers whose deadline has passed, and the call itself if the back end
+// is unresponsive for too long. A call with a claim key continues beyond the
+// caller's deadline for a caller that retries.
 Effects CheckDeadline(AgentCalls& calls, uint64_t id, TimePoint now) {
   ForwardedCall& forwarded = calls.forwarded.at(id);
   Effects effects = EndExpiredWaiters(calls, forwarded, now);
-  if (TimeoutOf(calls, forwarded) <= now) {
+  if (ForwardDeadline(calls, forwarded) <= now) {
     const Ending ending{
         forwarded.has_head ? Verdict::kTruncated : Verdict::kUnknown,
         ErrorCode::kTimeout, "the back end keeps silent",
--- a/Libraries/LibCalls/Ending.h
+++ b/Libraries/LibCalls/Ending.h
@@ -1,4 +1,4 @@
-// How a call ended, as far as it is proved.
+// The proven outcome of a call.
 #pragma once
 
 #include <string>
@@ -13,18 +13,18 @@
   kWhole,
   // The call did not run and never will.
   kNotRun,
-  // Nobody knows whether the call ran; nothing of an answer was passed on.
+  // It is unknown whether the call ran. No part of an answer was forwarded.
   kUnknown,
-  // A part of the answer was passed on and the rest will not come.
+  // A part of the answer was forwarded, and the rest will not follow.
   kTruncated,
 };
 
 struct Ending {
   Verdict verdict = Verdict::kWhole;
-  // Unused for a whole answer.
+  // Unused for kWhole.
   ErrorCode error = ErrorCode::kUnavailable;
   std::string detail;
-  // When to come back; zero if that is of no use.
+  // Delay before the caller should retry; zero if a retry cannot help.
   Duration retry_after{};
 };
 
--- a/Libraries/LibCalls/Retry.cc
+++ b/Libraries/LibCalls/Retry.cc
@@ -4,8 +4,9 @@
 
 namespace {
 
-// A call that may not be repeated belongs to the one agent that its key names;
-// sent anywhere else it could run twice.
+// Whether another attempt can help and is permitted. A call that must not be
+// repeated belongs to the one agent that its claim key names; sent to any
+// other agent it could run twice.
 bool is_retry_allowed(const RetryPolicy& policy,
                       const Attempt& attempt,
                       const Ending& ending) {
@@ -24,7 +25,8 @@
   if (ending.verdict == Verdict::kWhole) {
     return NextStep::kFinish;
   }
-  // A second answer after the head of a first would be two in one.
+  // After the head of one answer, the caller would take the bytes of a second
+  // answer for a part of the first.
   if (attempt.has_head) {
     return NextStep::kTruncate;
   }
--- a/Libraries/LibCalls/Retry.h
+++ b/Libraries/LibCalls/Retry.h
@@ -1,4 +1,5 @@
-// What an entry does at the end of an attempt to have a call answered. Pure.
+// Decides what an entry does at the end of an attempt at a call. Pure
+// functions.
 #pragma once
 
 #include <cstdint>
@@ -10,45 +11,46 @@
 
 struct RetryPolicy {
   uint32_t max_attempts = 3;
-  // With less time left no other target could answer.
+  // With less time left, no other target could answer.
   Duration min_remaining = std::chrono::milliseconds(50);
 };
 
-// A call at the end of an attempt.
+// The state of a call at the end of an attempt.
 struct Attempt {
-  // The call may be repeated, by its entry's declaration.
+  // The catalogue entry declares that the call may be repeated.
   bool is_repeatable = true;
-  // The head of an answer was passed on to the caller.
+  // The head of an answer was forwarded to the caller.
   bool has_head = false;
-  // An earlier attempt ended unknown.
+  // An earlier attempt ended with kUnknown.
   bool may_have_run = false;
   uint32_t attempts = 1;
-  // Time to the deadline of the first byte.
+  // Time until the deadline for the first byte.
   Duration remaining{};
 };
 
 enum class NextStep {
-  // End the caller's answer as whole.
+  // End the caller's answer as complete.
   kFinish,
-  // Break the caller's answer off, so that it shows as truncated.
+  // End the caller's answer such that the caller detects that it is truncated.
   kTruncate,
   // Send the call to another target.
   kRetry,
-  // Tell the caller how the call ended.
+  // Answer the caller with the error of the call.
   kRefuse,
 };
 
-// Takes one retry from the budget of the owner and the process, if there is
-// one left. It is asked last, so that it only counts retries that happen.
+// Takes one retry from the budgets of the owner and the process, and returns
+// whether one was left. Called last, so only retries that are sent are counted.
 using TakeRetry = std::function<bool()>;
 
+// Returns the step that follows an attempt with this ending.
 NextStep DecideNextStep(const RetryPolicy& policy,
                         const Attempt& attempt,
                         const Ending& ending,
                         const TakeRetry& take_retry);
 
-// The verdict over all attempts, given that of the last. A last attempt that
-// did not run says nothing of an earlier one that ended unknown.
+// Returns the verdict over all attempts of a call without an answer, given that
+// of the last one. It is kNotRun only if no earlier attempt may have run.
 Verdict CombinedVerdict(const Attempt& attempt, Verdict last);
 
 }  // namespace bramleyspan::calls
--- a/Tests/LibCalls/TestAgentCalls.cc
+++ b/Tests/LibCalls/TestAgentCalls.cc
@@ -82,10 +82,9 @@
 
 }  // namespace
 
-// A member's program loses its connection, asks again through another entry
-// and hears "unknown" although the invoice is being issued just then. The
-// second attempt must get the first one's answer.
-TEST_CASE("a duplicate of a running call gets its answer") {
+// A caller loses its connection and retries through another entry while the
+// call is running. The retry must receive the answer of the first attempt.
+TEST_CASE("a duplicate of a running call receives its answer") {
   AgentCalls calls = MakeAgent();
   REQUIRE(ForwardsIn(ReceiveCall(calls, Claimed(calls, kFirst), kStart)) == 1);
   CHECK(ReceiveCall(calls, Claimed(calls, kSecond), kStart).empty());
@@ -98,9 +97,9 @@
   CHECK(FindEnd(effects, kFirst) == nullptr);
 }
 
-// The back end is down; the caller hears "not run" and issues the invoice by
-// other means. A copy of the call that was delayed must not issue it again.
-TEST_CASE("not run is said only after the key is burnt") {
+// The back end is down, and the caller receives kNotRun and does the work by
+// other means. A delayed duplicate of the call must not run afterwards.
+TEST_CASE("kNotRun is reported only after the key is invalidated") {
   AgentCalls calls = MakeAgent();
   ReceiveCall(calls, Claimed(calls, kFirst), kStart);
   const Effects effects = ReceiveEnd(calls, 1, BackEndOutcome::kNeverSent, "");
@@ -110,8 +109,9 @@
   CHECK(VerdictOf(late, kSecond) == Verdict::kNotRun);
 }
 
-// The agent is told to stop and the same key comes by two entries.
-TEST_CASE("a leaving agent refuses and keeps to it") {
+// A leaving agent receives calls with the same key from two entries. Once
+// refused, the key stays refused.
+TEST_CASE("a key that a leaving agent refused never runs") {
   AgentCalls calls = MakeAgent();
   calls.is_leaving = true;
   const Effects refused = ReceiveCall(calls, Claimed(calls, kFirst), kStart);
@@ -121,9 +121,9 @@
   CHECK(ForwardsIn(ReceiveCall(calls, Claimed(calls, kSecond), kStart)) == 0);
 }
 
-// The engine's VM freezes. A caller that waits without an end would be held
-// long after its own client has hung up, and the engine's slot with it.
-TEST_CASE("a silent back end holds no call beyond its deadline") {
+// The back end's VM freezes. Without a deadline, the caller and the back end's
+// slot would be held long after the caller's own client has disconnected.
+TEST_CASE("an unresponsive back end holds no call beyond its deadline") {
   AgentCalls calls = MakeAgent();
   ReceiveCall(calls, Chat(kFirst), kStart);
   CHECK(CheckDeadlines(calls, kStart + milliseconds(1999)).empty());
@@ -133,9 +133,9 @@
   CHECK(calls.forwarded.empty());
 }
 
-// A slow invoice: its caller is told "unknown, ask again" at the deadline and
-// must find the answer later; a cancelled call would have none.
-TEST_CASE("an at-most-once call runs on after its callers were told") {
+// A slow at-most-once call: at its deadline the caller receives kUnknown and is
+// asked to retry. The retry must find the answer, so the call is not cancelled.
+TEST_CASE("an at-most-once call continues after its callers' deadlines") {
   AgentCalls calls = MakeAgent();
   ReceiveCall(calls, Claimed(calls, kFirst), kStart);
   ReceiveCall(calls, Claimed(calls, kSecond), kStart + seconds(1));
@@ -149,9 +149,9 @@
   CHECK(VerdictOf(again, kFirst) == Verdict::kWhole);
 }
 
-// The engine dies between two events of a stream and its kernel closes the
-// connection in good order: the draft ends in the middle of a sentence.
-TEST_CASE("an answer that does not say that it is whole is truncated") {
+// A model server dies between two events of a stream, and the operating system
+// closes the connection normally, so HTTP considers the answer complete.
+TEST_CASE("an answer whose end is not proven is truncated") {
   AgentCalls calls = MakeAgent();
   ReceiveCall(calls, Chat(kFirst), kStart);
   ReceiveHead(calls, 1, {200, "text/event-stream", true}, kStart);
@@ -170,8 +170,8 @@
                   kFirst) == Verdict::kTruncated);
 }
 
-// Two entries number their calls alike; one of them cancels its own.
-TEST_CASE("a call is found by connection and id") {
+// Two entries use the same call id, and one of them cancels its call.
+TEST_CASE("a call is identified by connection and id") {
   AgentCalls calls = MakeAgent();
   ReceiveCall(calls, Chat(kFirst), kStart);
   ReceiveCall(calls, Chat(kSecond), kStart);
@@ -184,7 +184,8 @@
 
 namespace {
 
-// What callers were told and what the back end did, over any interleaving.
+// The endings that callers received and the runs of the back end, for any order
+// of events.
 struct History {
   std::map<uint64_t, std::string> nonce_of_forward;
   std::map<std::string, int> runs;
@@ -212,7 +213,7 @@
   }
 }
 
-// One generated step: which event, of which key.
+// Performs one generated step: `event` selects the event, `choice` the key.
 void Step(AgentCalls& calls,
           History& history,
           uint8_t event,
@@ -273,7 +274,9 @@
 
 }  // namespace
 
-TEST_CASE("property: at most once, true not run, one's own answer") {
+// No key runs twice, no key runs after or before kNotRun, and each caller
+// receives only the answer to its own key.
+TEST_CASE("property: at most one run per key, correct kNotRun, own answer") {
   tests::CheckProperty(
       "calls of one agent",
       [](const std::vector<std::pair<uint8_t, uint8_t>>& steps) {
--- a/Tests/LibCalls/TestRetry.cc
+++ b/Tests/LibCalls/TestRetry.cc
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-TEST_CASE("what is repeatable goes to another target while there is time") {
+TEST_CASE("a repeatable call is retried while time and attempts are left") {
   CHECK(DecideNextStep({}, Repeatable(), kLeaving, kAllow) == NextStep::kRetry);
   CHECK(DecideNextStep({}, Repeatable(), kLost, kAllow) == NextStep::kRetry);
   Attempt late = Repeatable();
@@ -34,25 +34,26 @@
         NextStep::kRefuse);
 }
 
-// An agent dies with an invoice in its hands and the entry sends it to
-// another: it is issued twice.
-TEST_CASE("what may not be repeated is never sent on") {
+// Guards against running a call twice: an agent dies with an at-most-once call,
+// and the entry sends the call to another agent.
+TEST_CASE("a call that must not be repeated is never retried") {
   Attempt once = Repeatable();
   once.is_repeatable = false;
   CHECK(DecideNextStep({}, once, kLost, kAllow) == NextStep::kRefuse);
   CHECK(DecideNextStep({}, once, kLeaving, kAllow) == NextStep::kRefuse);
 }
 
-// An engine dies in the middle of a draft; the caller sees the beginning of
-// one answer and the whole of another as one text.
-TEST_CASE("an answer that has begun is broken off") {
+// Guards against joining two answers: a model server dies during an answer, and
+// a retry would append a second answer to its beginning.
+TEST_CASE("an answer that has started is truncated and never retried") {
   Attempt begun = Repeatable();
   begun.has_head = true;
   CHECK(DecideNextStep({}, begun, kLost, kAllow) == NextStep::kTruncate);
 }
 
-// All targets fail at once and every entry triples the load on what is left.
-TEST_CASE("the budget bounds retries and counts only those that happen") {
+// Guards against retry storms: when all targets fail, three attempts of each
+// call would triple the load on the remaining targets.
+TEST_CASE("the budget limits retries and counts only those that are sent") {
   int request_count = 0;
   const TakeRetry refuse = [&request_count] {
     ++request_count;
@@ -65,9 +66,10 @@
   CHECK(request_count == 1);
 }
 
-// The first agent dies with a draft, the second one is leaving: the caller
-// hears "not run" while the first engine is still writing.
-TEST_CASE("not run is not said after an attempt that may have run") {
+// The first agent dies during a call and the second one is leaving. The caller
+// must not receive kNotRun, since the first model server may still be running
+// the call.
+TEST_CASE("kNotRun is not reported after an attempt that may have run") {
   Attempt attempt = Repeatable();
   CHECK(CombinedVerdict(attempt, Verdict::kNotRun) == Verdict::kNotRun);
   attempt.may_have_run = true;
