--- a/Libraries/LibHTTP/IngressConnection.cc
+++ b/Libraries/LibHTTP/IngressConnection.cc
@@ -15,12 +15,13 @@
 constexpr int kRequestTimeout = 408;
 constexpr int kPayloadTooLarge = 413;
 constexpr int kHeadersTooLarge = 431;
-// Bytes of further requests that are kept while an answer is pending.
-constexpr size_t kMostPipelinedBytes = 1 << 16;
-// How long a closing connection waits for the caller to read its answer.
+// Bytes of further requests that are buffered while an answer is pending.
+constexpr size_t kMaxPipelinedBytes = 1 << 16;
+// How long a closing connection waits for the caller to read the answer.
 constexpr Duration kLingerTime = std::chrono::seconds(1);
-// Callers keep idle connections for up to four fifths of the limit; a close
-// that crosses a request would cost that request an attempt.
+// Callers reuse idle connections for up to four fifths of the idle timeout. If
+// the server closed one while a request is on its way, the request would fail
+// and use up an attempt.
 constexpr Duration kIdleSlack = std::chrono::milliseconds(500);
 constexpr unsigned kUserTimeoutMilliseconds = 10'000;
 
@@ -70,8 +71,8 @@
 
 void IngressConnection::Start() {
   this->socket->data = this;
-  // A caller behind a partition would otherwise hold its answer's memory for
-  // as long as the system retransmits.
+  // Limits how long the answer to an unreachable caller is held in memory.
+  // Otherwise it is held for as long as the system retransmits.
   setsockopt(h2o_socket_get_fd(this->socket), IPPROTO_TCP, TCP_USER_TIMEOUT,
              &kUserTimeoutMilliseconds, sizeof kUserTimeoutMilliseconds);
   h2o_socket_read_start(
@@ -93,7 +94,7 @@
   this->server.connections.erase(keep_until_return);
   if (auto open = std::exchange(this->exchange, nullptr)) {
     open->connection = nullptr;
-    auto callback = std::exchange(open->gone_callback, nullptr);
+    auto callback = std::exchange(open->disconnect_callback, nullptr);
     if (callback && !this->is_answered) {
       callback();
     }
@@ -144,7 +145,7 @@
   this->input.append(received->bytes, received->size);
   h2o_buffer_consume(&this->socket->input, received->size);
   if (this->phase == Phase::kAnswer) {
-    if (this->input.size() > kMostPipelinedBytes) {
+    if (this->input.size() > kMaxPipelinedBytes) {
       h2o_socket_read_stop(this->socket);
     }
     return;
@@ -162,7 +163,7 @@
 }
 
 void IngressConnection::ReadHead() {
-  // An empty line before a request is allowed and means nothing.
+  // RFC 9112, section 2.2: a server ignores empty lines before a request.
   while (this->input.starts_with("\r\n")) {
     this->input.erase(0, 2);
   }
@@ -175,27 +176,27 @@
     return;
   }
   if (!parsed.value()) {
-    if (this->input.size() > this->server.limits.largest_head) {
+    if (this->input.size() > this->server.limits.max_head_bytes) {
       this->Refuse(kHeadersTooLarge);
     }
     return;
   }
   this->head = std::move(parsed.value());
-  if (this->head->bytes > this->server.limits.largest_head) {
+  if (this->head->bytes > this->server.limits.max_head_bytes) {
     this->Refuse(kHeadersTooLarge);
     return;
   }
-  const auto shape = ShapeOfRequest(*this->head);
-  if (shape.has_error()) {
+  const auto message_framing = FramingOfRequest(*this->head);
+  if (message_framing.has_error()) {
     this->Refuse(kBadRequest);
     return;
   }
-  if (shape.value().length > this->server.limits.largest_body) {
+  if (message_framing.value().length > this->server.limits.max_body_bytes) {
     this->Refuse(kPayloadTooLarge);
     return;
   }
   this->input.erase(0, this->head->bytes);
-  this->body_reader = BodyReader(shape.value());
+  this->body_reader = BodyReader(message_framing.value());
   this->body.clear();
   this->phase = Phase::kBody;
   this->since = EventLoop::Now();
@@ -206,26 +207,27 @@
 }
 
 void IngressConnection::ReadBody() {
-  const auto taken = this->body_reader.Read(this->input, this->body);
-  if (taken.has_error()) {
+  const auto consumed = this->body_reader.Read(this->input, this->body);
+  if (consumed.has_error()) {
     this->Refuse(kBadRequest);
     return;
   }
-  this->input.erase(0, taken.value());
-  if (this->body.size() > this->server.limits.largest_body) {
+  this->input.erase(0, consumed.value());
+  if (this->body.size() > this->server.limits.max_body_bytes) {
     this->Refuse(kPayloadTooLarge);
     return;
   }
   if (this->body_reader.is_whole()) {
-    this->HandOver();
+    this->DispatchRequest();
   }
 }
 
-void IngressConnection::HandOver() {
+void IngressConnection::DispatchRequest() {
   this->phase = Phase::kAnswer;
   this->since = EventLoop::Now();
   this->is_answered = false;
-  this->is_last = !is_kept(this->head->headers, this->head->minor_version);
+  this->is_last =
+      !is_persistent(this->head->headers, this->head->minor_version);
   this->exchange = std::make_shared<IngressExchange>();
   this->exchange->connection = this;
   this->exchange->is_chunked = this->head->minor_version > 0;
@@ -246,7 +248,7 @@
   this->server.handler(std::move(request), open);
 }
 
-// Answers a request that was not read to its end and never will be.
+// Answers a request without reading the rest of it, and ends the connection.
 void IngressConnection::Refuse(int status) {
   this->is_last = true;
   this->is_answered = true;
@@ -304,7 +306,8 @@
   }
 }
 
-// The answer is complete; goes on when its last byte is written.
+// Marks the answer as complete. Once its last byte is written, continues with
+// the next request or closes the connection.
 void IngressConnection::EndAnswer() {
   this->is_answered = true;
   if (this->is_writing || this->phase != Phase::kAnswer) {
@@ -322,8 +325,9 @@
   this->ReadMore();
 }
 
-// Closing with unread bytes resets the connection, and the reset may overtake
-// the answer. So only our half is closed, and the rest is read and dropped.
+// Closing a socket with unread input resets the connection, and the caller may
+// receive the reset before the answer. So only the sending side is closed, and
+// further input is read and discarded.
 void IngressConnection::Linger() {
   this->phase = Phase::kLingering;
   this->since = EventLoop::Now();
@@ -343,7 +347,7 @@
   auto keep_until_return = this->connection->shared_from_this();
   IngressConnection& channel = *this->connection;
   channel.is_last = channel.is_last || channel.server.is_draining;
-  this->gone_callback = nullptr;
+  this->disconnect_callback = nullptr;
   this->connection = nullptr;
   channel.exchange = nullptr;
   channel.is_answered = true;
@@ -377,9 +381,9 @@
   } else {
     channel.Send(bytes);
   }
-  // A caller that reads slower than the engine writes would otherwise fill
-  // the memory of the process; its own answer is cut instead.
-  if (channel.outgoing.size() > channel.server.limits.most_pending_bytes) {
+  // Bounds the memory that a caller can use by reading more slowly than the
+  // back end writes. The caller's answer is truncated.
+  if (channel.outgoing.size() > channel.server.limits.max_pending_bytes) {
     channel.Close();
   }
 }
@@ -390,7 +394,7 @@
   }
   auto keep_until_return = this->connection->shared_from_this();
   IngressConnection& channel = *this->connection;
-  this->gone_callback = nullptr;
+  this->disconnect_callback = nullptr;
   this->connection = nullptr;
   channel.exchange = nullptr;
   channel.is_last = channel.is_last || channel.server.is_draining;
@@ -406,8 +410,9 @@
   if (this->is_closed()) {
     return;
   }
-  this->gone_callback = nullptr;
-  // Without chunks only a reset tells a broken answer from a whole one.
+  this->disconnect_callback = nullptr;
+  // Without chunks, only a reset distinguishes a truncated answer from a
+  // complete one.
   if (!this->is_chunked) {
     const linger reset{.l_onoff = 1, .l_linger = 0};
     setsockopt(h2o_socket_get_fd(this->connection->socket), SOL_SOCKET,
--- a/Services/bramleyspand/Agent/Calls.cc
+++ b/Services/bramleyspand/Agent/Calls.cc
@@ -129,7 +129,7 @@
       .body = call.body,
       // The deadlines of `calls` end the call earlier; this timeout is a last
       // resort.
-      .timeout = 2 * state.calls.settings.longest_run,
+      .timeout = 2 * state.calls.settings.max_run_time,
       .connection_use = call.claim.empty() ? http::ConnectionUse::kShared
                                            : http::ConnectionUse::kFresh};
   auto exchange =
@@ -238,7 +238,7 @@
 
 void HandleLostEntry(AgentState& state, const wire::Connection& connection) {
   state.callers.erase(connection.id);
-  Perform(state, calls::LoseConnection(state.calls, connection.id));
+  Perform(state, calls::HandleConnectionClosed(state.calls, connection.id));
 }
 
 void CheckDeadlinesPeriodically(AgentState& state) {
@@ -271,7 +271,7 @@
 }
 
 void AbortAllCalls(AgentState& state) {
-  Perform(state, calls::CutAll(state.calls));
+  Perform(state, calls::AbortAll(state.calls));
 }
 
 }  // namespace bramleyspan::agent
--- a/Services/bramleyspand/Entry/EntryRole.cc
+++ b/Services/bramleyspand/Entry/EntryRole.cc
@@ -24,7 +24,7 @@
     const Settings& settings = this->state.settings;
     // An operator sends a complete catalogue: 1,500 owners take more than a
     // megabyte.
-    const http::ServerLimits limits{.largest_body = kMaxOperatorBodyBytes};
+    const http::ServerLimits limits{.max_body_bytes = kMaxOperatorBodyBytes};
     this->server = TRY(http::Server::Listen(
         this->state.loop, {settings.ip, settings.caller_port}, limits,
         [this](const http::Request& request,
@@ -50,7 +50,7 @@
     // A request that arrives on a persistent connection just as this process
     // exits gets no answer. The next answer of each connection therefore closes
     // it, so that the caller reconnects in time.
-    this->server->CloseKeptConnections();
+    this->server->ClosePersistentConnections();
     this->drain_ends = EventLoop::Now() + this->state.settings.drain_bound;
     // Callers cache addresses and may still connect here, so the entry serves
     // until all cached answers have expired.
--- a/Services/bramleyspand/Rank/RankPoller.cc
+++ b/Services/bramleyspand/Rank/RankPoller.cc
@@ -26,7 +26,7 @@
        .headers = {{"host", Format(*this->state.fleet().engine)}},
        .connect_timeout = kOwnCallTimeout,
        .timeout = kOwnCallTimeout,
-       .channels = &this->state.channels},
+       .connection_pool = &this->state.connection_pool},
       [on_done = std::move(on_done)](CallEnd end,
                                      const http::Response& response) {
         if (end != CallEnd::kWhole || response.status != 200) {
