--- a/Utilities/bramleyspanctl/CatalogueCommands.cc
+++ b/Utilities/bramleyspanctl/CatalogueCommands.cc
@@ -18,7 +18,7 @@
 constexpr const char* kChangesPath = "/v1/operator/catalogue/changes";
 constexpr const char* kRestorePath = "/v1/operator/catalogue/restore";
 
-// The catalogue in force with its revision.
+// The catalogue in force, and its revision.
 struct InForce {
   uint64_t revision = 0;
   catalogue::Catalogue catalogue;
@@ -36,7 +36,7 @@
 
 Result<InForce> FetchInForce() {
   const std::string answer =
-      TRY(AskForBody("GET", "/v1/operator/catalogue", ""));
+      TRY(FetchBody("GET", "/v1/operator/catalogue", ""));
   const json document = json::parse(answer);
   InForce in_force;
   in_force.revision = document.at("revision");
@@ -57,16 +57,17 @@
   }
 }
 
-std::string NewChangeId(const std::string& given) {
+std::string ChooseChangeId(const std::string& given) {
   std::string id = given.empty() ? RandomHex(kChangeIdBytes) : given;
   std::cerr << "change id " << id << "\n";
   return id;
 }
 
-// A change whose reply was lost may be in force. Sending it again under the
-// same id can not apply it twice and tells what became of it.
-void ExplainUnknown(const std::string& command) {
-  std::cerr << "the change may or may not be in force; ask again with\n  "
+// Prints the command that repeats a change whose outcome is unknown. The reply
+// may have been lost after the change took effect; since the command keeps the
+// change id, it can't apply the change twice, and it returns the outcome.
+void PrintRetryCommand(const std::string& command) {
+  std::cerr << "the change may or may not be in force; retry with\n  "
             << command << "\n";
 }
 
@@ -108,25 +109,26 @@
   const auto parsed = TRY(ReadCatalogueFile(path));
   if (options.base_revision < 0) {
     return Fail(ErrorCode::kInvalidSetting, "base-revision",
-                "say from which revision the file was made (0: none yet); "
-                "without it the edit of another operator could be undone");
+                "required: the revision on which the file is based (0: none "
+                "yet); without it the edit of another operator could be "
+                "undone");
   }
-  const std::string id = NewChangeId(options.change_id);
+  const std::string id = ChooseChangeId(options.change_id);
   const json change = {
       {"id", id},
       {"base_revision", options.base_revision},
       {"catalogue", json::parse(catalogue::SerializeJson(parsed))}};
-  const auto answer = AskForBody("POST", kChangesPath, change.dump());
+  const auto answer = FetchBody("POST", kChangesPath, change.dump());
   if (answer.has_value()) {
     PrintAccepted(answer.value());
     return Succeed();
   }
   if (is_outcome_unknown(answer.error())) {
-    ExplainUnknown("bramleyspanctl catalogue apply --change_id=" + id +
-                   " --base_revision=" + std::to_string(options.base_revision) +
-                   " " + path);
+    PrintRetryCommand("bramleyspanctl catalogue apply --change_id=" + id +
+                      " --base_revision=" +
+                      std::to_string(options.base_revision) + " " + path);
   } else if (answer.error().code == ErrorCode::kConflict) {
-    // The other operator's edit shows as what the file would take back.
+    // The other operator's edit appears as what this file would revert.
     const InForce in_force = TRY(FetchInForce());
     PrintDifference(std::cerr, in_force, parsed);
   }
@@ -135,8 +137,8 @@
 
 Result<void> RestoreCatalogue(const std::string& change_id,
                               bool abandons_other_branches) {
-  const std::string id = NewChangeId(change_id);
-  const auto answer = AskForBody(
+  const std::string id = ChooseChangeId(change_id);
+  const auto answer = FetchBody(
       "POST", kRestorePath,
       json{{"id", id}, {"abandon_other_branches", abandons_other_branches}}
           .dump());
@@ -145,7 +147,7 @@
     return Succeed();
   }
   if (is_outcome_unknown(answer.error())) {
-    ExplainUnknown(
+    PrintRetryCommand(
         std::string("bramleyspanctl catalogue restore ") +
         (abandons_other_branches ? "--abandon_other_branches " : "") +
         "--change_id=" + id);
@@ -155,7 +157,7 @@
 
 Result<void> PrintHistory() {
   const std::string answer =
-      TRY(AskForBody("GET", "/v1/operator/catalogue/history", ""));
+      TRY(FetchBody("GET", "/v1/operator/catalogue/history", ""));
   const json document = json::parse(answer);
   for (const json& change : document.at("changes")) {
     std::cout << "revision " << change.at("revision") << "\t"
--- a/Utilities/bramleyspanctl/Commands.h
+++ b/Utilities/bramleyspanctl/Commands.h
@@ -1,4 +1,4 @@
-// The commands of the operators' tool. Each prints its outcome or fails.
+// The commands of the operators' tool. Each prints its result or fails.
 #pragma once
 
 #include <string>
@@ -9,20 +9,21 @@
 
 namespace bramleyspan {
 
-// The entries and the key that flags or environment variables give.
+// Returns a client with the entries and the key from flags or environment
+// variables.
 Result<OperatorClient> MakeClient();
 
-// Sends a request and returns the body of its answer. A refusal comes back as
-// the failure that the entry named.
-Result<std::string> AskForBody(const std::string& method,
-                               const std::string& path,
-                               const std::string& body);
+// Sends a request and returns the body of the answer. If the entry refuses it,
+// fails with the error code and message of the entry's answer.
+Result<std::string> FetchBody(const std::string& method,
+                              const std::string& path,
+                              const std::string& body);
 
-// How a change set is sent.
+// Options of `catalogue apply`.
 struct ApplyOptions {
-  // The revision from which the file was made; negative if not given.
+  // The revision on which the file is based; negative if not given.
   int64_t base_revision = -1;
-  // The id of an earlier try; empty for a new change.
+  // The id of an earlier attempt of the same change; empty for a new change.
   std::string change_id;
 };
 
@@ -34,23 +35,27 @@
 Result<void> PrintHistory();
 Result<void> PrintStatus();
 
-// Prints a request's records, and what its processes came to believe around
-// it, from log files or directories of them. Fails with kNotFound.
+// Prints the log records of a request, and the state changes that the processes
+// which handled it logged around that time. `paths` are log files or
+// directories of them. Fails with kNotFound if no record names the request.
 Result<void> ExplainRequest(const std::string& request,
                             const std::vector<std::string>& paths);
 
-// Where usage is read, and how it is added up.
+// Where usage is read from, and by which columns it is summed.
 struct UsageOptions {
+  // Name of the platform adapter that reads the store.
   std::string adapter;
   // IP:PORT of the platform's store.
   std::string store;
-  // IP:PORT of gateways' internal ports, for what is not stored yet.
+  // IP:PORT,... of the internal ports of gateways, for usage that is not stored
+  // yet; empty to read the store alone.
   std::string gateways;
-  // Columns: owner, entry, service, gateway, window.
+  // Columns, separated by commas: owner, entry, service, gateway, window.
   std::string by;
 };
 
-// Prints who caused which work.
+// Prints the usage counts, one row for each combination of the columns' values,
+// and their total.
 Result<void> PrintUsage(const UsageOptions& options);
 
 }  // namespace bramleyspan
--- a/Utilities/bramleyspanctl/ExplainCommand.cc
+++ b/Utilities/bramleyspanctl/ExplainCommand.cc
@@ -1,4 +1,5 @@
-// Tells one request's story from the logs of the processes that had it.
+// Collects the log records about one request from the processes that handled
+// it.
 #include <algorithm>
 #include <array>
 #include <chrono>
@@ -17,12 +18,13 @@
 
 using nlohmann::json;
 
-// What a process came to believe this long before or after the request may
-// have decided about it.
-constexpr std::chrono::milliseconds kAround{1500};
+// State changes of a process within this time before or after the request may
+// have influenced how it was handled.
+constexpr std::chrono::milliseconds kContextTime{1500};
 
-// Modules whose lines tell what a process believes.
-constexpr std::array<std::string_view, 6> kBeliefModules{
+// Modules whose records describe a process's own state and its view of the
+// fleet.
+constexpr std::array<std::string_view, 6> kStateModules{
     "feeds", "members", "map", "rank", "main", "drain"};
 
 struct Record {
@@ -30,13 +32,14 @@
   json fields;
 };
 
-bool is_belief(const Record& record) {
+bool is_state_record(const Record& record) {
   const std::string module = record.fields.value("module", "");
-  return std::find(kBeliefModules.begin(), kBeliefModules.end(), module) !=
-         kBeliefModules.end();
+  return std::find(kStateModules.begin(), kStateModules.end(), module) !=
+         kStateModules.end();
 }
 
-// Lines may begin with what a log collector put before the record.
+// Reads one JSON record from each line. A log collector may have put a prefix
+// before the record.
 void ReadFile(const std::filesystem::path& path, std::vector<Record>& records) {
   std::ifstream file(path);
   for (std::string line; std::getline(file, line);) {
@@ -89,7 +92,8 @@
   std::cout << "\n";
 }
 
-// The processes that led the maps of these groups.
+// Returns the processes that owned the expert maps of these groups: only a
+// map's owner logs group_load.
 std::set<std::string> FindOwners(const std::vector<Record>& records,
                                  const std::set<std::string>& groups) {
   std::set<std::string> owners;
@@ -121,23 +125,24 @@
   }
   if (!first) {
     return Fail(ErrorCode::kNotFound, request,
-                "no record names this request; it may have been left out: see "
-                "left_out_before in the records of that second");
+                "no record names this request; the rate limit of the log may "
+                "have dropped it: see left_out_before in the records of that "
+                "second");
   }
   groups.erase("");
   const std::set<std::string> owners = FindOwners(records, groups);
   for (const Record& record : records) {
-    const bool is_its = record.fields.value("request", "") == request;
-    const bool is_near =
-        record.time >= *first - kAround && record.time <= last + kAround;
-    const bool is_of_its_process =
+    const bool is_of_request = record.fields.value("request", "") == request;
+    const bool is_in_context = record.time >= *first - kContextTime &&
+                               record.time <= last + kContextTime;
+    const bool is_of_involved_process =
         processes.contains(record.fields.value("process", ""));
-    const bool is_of_its_group =
+    const bool is_of_group_owner =
         owners.contains(record.fields.value("process", "")) &&
         record.time >= *first && record.time <= last &&
         record.fields.value("module", "") == "map";
-    if (is_its || is_of_its_group ||
-        (is_near && is_of_its_process && is_belief(record))) {
+    if (is_of_request || is_of_group_owner ||
+        (is_in_context && is_of_involved_process && is_state_record(record))) {
       Print(record, *first);
     }
   }
--- a/Utilities/bramleyspanctl/Main.cc
+++ b/Utilities/bramleyspanctl/Main.cc
@@ -13,23 +13,23 @@
 ABSL_FLAG(std::string,
           entries,
           "",
-          "entries to ask, IP:PORT,IP:PORT (or BRAMLEYSPAN_ENTRIES)");
+          "entries to call, IP:PORT,IP:PORT (or BRAMLEYSPAN_ENTRIES)");
 ABSL_FLAG(std::string,
           operator_key,
           "",
-          "key to show (better: BRAMLEYSPAN_OPERATOR_KEY)");
+          "operator key (better: BRAMLEYSPAN_OPERATOR_KEY)");
 ABSL_FLAG(int64_t,
           base_revision,
           -1,
-          "revision from which the applied file was made");
+          "revision on which the applied file is based");
 ABSL_FLAG(bool,
           abandon_other_branches,
           false,
-          "let a restore give up what other processes have in force");
+          "let a restore abandon revisions that other processes have in force");
 ABSL_FLAG(std::string,
           change_id,
           "",
-          "id of the change set; give it again to learn what became of it");
+          "id of the change set; repeat it to get the outcome of that change");
 
 ABSL_FLAG(std::string,
           adapter,
@@ -72,8 +72,8 @@
     "                          service that has lost it\n"
     "  status                  which revision is in force on which process\n"
     "  dump                    the whole state of one process\n"
-    "  usage                   who caused which work, from --store\n"
-    "  explain REQUEST LOG...  one request's story from log files or "
+    "  usage                   requests and tokens by owner, from --store\n"
+    "  explain REQUEST LOG...  all records about a request, from log files or "
     "directories\n";
 
 std::string FlagOrEnvironment(const std::string& flag, const char* variable) {
@@ -95,11 +95,11 @@
   return client;
 }
 
-Result<std::string> AskForBody(const std::string& method,
-                               const std::string& path,
-                               const std::string& body) {
+Result<std::string> FetchBody(const std::string& method,
+                              const std::string& path,
+                              const std::string& body) {
   const OperatorClient client = TRY(MakeClient());
-  const http::Response response = TRY(Ask(client, method, path, body));
+  const http::Response response = TRY(SendRequest(client, method, path, body));
   if (response.status == kOk) {
     return response.body;
   }
@@ -116,7 +116,7 @@
 namespace {
 
 Result<void> PrintBody(const std::string& path) {
-  const std::string answer = TRY(AskForBody("GET", path, ""));
+  const std::string answer = TRY(FetchBody("GET", path, ""));
   std::cout << json::parse(answer).dump(2) << "\n";
   return Succeed();
 }
@@ -180,8 +180,9 @@
 
 int Run(int argument_count, char** arguments) {
   absl::SetProgramUsageMessage(kUsage);
-  const auto rest = absl::ParseCommandLine(argument_count, arguments);
-  const std::vector<std::string> words(rest.begin() + 1, rest.end());
+  const auto positional = absl::ParseCommandLine(argument_count, arguments);
+  const std::vector<std::string> words(positional.begin() + 1,
+                                       positional.end());
   Result<void> outcome = Succeed();
   try {
     outcome = RunCommand(words);
--- a/Utilities/bramleyspanctl/OperatorClient.cc
+++ b/Utilities/bramleyspanctl/OperatorClient.cc
@@ -7,14 +7,14 @@
 
 namespace {
 
-// A commit may wait for a key-value service that is down.
+// An entry may wait for an unavailable key-value service during a commit.
 constexpr Duration kTimeout = std::chrono::seconds(30);
 
-Result<http::Response> AskOne(const OperatorClient& client,
-                              const Address& entry,
-                              const std::string& method,
-                              const std::string& path,
-                              const std::string& body) {
+Result<http::Response> SendRequestTo(const OperatorClient& client,
+                                     const Address& entry,
+                                     const std::string& method,
+                                     const std::string& path,
+                                     const std::string& body) {
   EventLoop loop;
   http::Client http_client(loop);
   http::ClientRequest request{
@@ -54,14 +54,14 @@
   return entries;
 }
 
-Result<http::Response> Ask(const OperatorClient& client,
-                           const std::string& method,
-                           const std::string& path,
-                           const std::string& body) {
+Result<http::Response> SendRequest(const OperatorClient& client,
+                                   const std::string& method,
+                                   const std::string& path,
+                                   const std::string& body) {
   Result<http::Response> answer =
       Fail(ErrorCode::kInvalidSetting, "entries", "none given");
   for (const Address& entry : client.entries) {
-    answer = AskOne(client, entry, method, path, body);
+    answer = SendRequestTo(client, entry, method, path, body);
     if (answer.has_value()) {
       return answer;
     }
--- a/Utilities/bramleyspanctl/OperatorClient.h
+++ b/Utilities/bramleyspanctl/OperatorClient.h
@@ -1,4 +1,4 @@
-// Talks to the operators' interface of the entries.
+// A client of the operators' interface of the entries.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace bramleyspan {
 
-// The entries to try in turn, and the key to show.
+// The entries to try one after the other, and the operator's key.
 struct OperatorClient {
   std::vector<Address> entries;
   std::string key;
@@ -19,11 +19,12 @@
 // Parses "IP:PORT,IP:PORT". Fails with kInvalidSetting.
 Result<std::vector<Address>> ParseEntries(const std::string& text);
 
-// Sends a request to the first entry that answers. A change set carries an id,
-// so that trying the next entry can not apply it twice. Fails if none answers.
-Result<http::Response> Ask(const OperatorClient& client,
-                           const std::string& method,
-                           const std::string& path,
-                           const std::string& body);
+// Returns the answer of the first entry that answers. Trying the next entry
+// can't apply a change set twice, since each carries an id. Fails if no entry
+// answers.
+Result<http::Response> SendRequest(const OperatorClient& client,
+                                   const std::string& method,
+                                   const std::string& path,
+                                   const std::string& body);
 
 }  // namespace bramleyspan
--- a/Utilities/bramleyspanctl/StatusCommand.cc
+++ b/Utilities/bramleyspanctl/StatusCommand.cc
@@ -23,11 +23,11 @@
   std::cout << (row.at("is_leaving").get<bool>() ? "\tleaving" : "") << "\n";
 }
 
-// Alarms are a process's own view, so each entry is asked for its own.
+// Alarms are local to a process, so they are fetched from each entry.
 void PrintAlarms(const OperatorClient& client) {
   for (const Address& entry : client.entries) {
     const auto answer =
-        Ask({{entry}, client.key}, "GET", "/v1/operator/status", "");
+        SendRequest({{entry}, client.key}, "GET", "/v1/operator/status", "");
     if (answer.has_error() || answer.value().status != kOk) {
       std::cout << "ALARM no_answer\t" << Format(entry) << "\n";
       continue;
@@ -45,7 +45,7 @@
 }  // namespace
 
 Result<void> PrintStatus() {
-  const std::string answer = TRY(AskForBody("GET", "/v1/operator/status", ""));
+  const std::string answer = TRY(FetchBody("GET", "/v1/operator/status", ""));
   const json document = json::parse(answer);
   for (const json& row : document.at("processes")) {
     PrintRow(row);
--- a/Utilities/bramleyspanctl/UsageCommand.cc
+++ b/Utilities/bramleyspanctl/UsageCommand.cc
@@ -1,5 +1,6 @@
-// Who caused which work: reads the documents that gateways keep in the store,
-// and what gateways have counted since, and adds them up.
+// The usage command: reads the documents that gateways write to the store, and
+// the counts of gateways that are not stored yet, and sums them by the columns
+// that were asked for.
 #include <absl/strings/str_format.h>
 #include <absl/strings/str_split.h>
 
@@ -41,8 +42,8 @@
   return page;
 }
 
-// Documents that can't be read are named and left out: one of them must not
-// hide all others.
+// Reads the rows of all stored documents. A document that can't be parsed is
+// reported on stderr and skipped, so that the others are still shown.
 Result<Rows> ReadStored(const UsageOptions& options) {
   const auto make = TRY(
       PluginRegistry<gateway::MakeAdapter>::Instance().Find(options.adapter));
@@ -69,11 +70,12 @@
 
 Result<Rows> ReadGateway(const Address& gateway) {
   const OperatorClient client{.entries = {gateway}, .key = ""};
-  const http::Response response = TRY(Ask(client, "GET", "/v1/usage", ""));
+  const http::Response response =
+      TRY(SendRequest(client, "GET", "/v1/usage", ""));
   return usage::ParseDocument(response.body);
 }
 
-std::string TimeOf(usage::Window window) {
+std::string FormatWindowStart(usage::Window window) {
   const auto begins = std::chrono::duration_cast<std::chrono::seconds>(
       usage::kWindowLength * static_cast<int64_t>(window));
   const std::time_t seconds = begins.count();
@@ -84,8 +86,8 @@
                          parts.tm_min);
 }
 
-// The names by which rows may be added up.
-Result<std::string> NameBy(const std::string& by, const Source& source) {
+// Returns the value of a row in the column `by`.
+Result<std::string> ColumnValue(const std::string& by, const Source& source) {
   if (by == "owner") {
     return source.owner;
   }
@@ -99,7 +101,7 @@
     return source.agent;
   }
   if (by == "window") {
-    return TimeOf(source.window);
+    return FormatWindowStart(source.window);
   }
   return Fail(ErrorCode::kInvalidSetting, "by",
               "'" + by +
@@ -118,7 +120,7 @@
   std::cout << "\n";
 }
 
-void PrintHead(const std::vector<std::string>& columns) {
+void PrintHeader(const std::vector<std::string>& columns) {
   for (const std::string& column : columns) {
     std::cout << absl::StrFormat("%-24s ", column);
   }
@@ -134,7 +136,7 @@
 Result<void> PrintUsage(const UsageOptions& options) {
   const std::vector<std::string> columns = absl::StrSplit(options.by, ',');
   for (const std::string& column : columns) {
-    TRY(NameBy(column, {}));
+    TRY(ColumnValue(column, {}));
   }
   Rows rows = TRY(ReadStored(options));
   if (!options.gateways.empty()) {
@@ -148,19 +150,20 @@
     std::vector<std::string> names;
     names.reserve(columns.size());
     for (const std::string& column : columns) {
-      names.push_back(TRY(NameBy(column, source)));
+      names.push_back(TRY(ColumnValue(column, source)));
     }
     usage::Add(sums[names], counts);
     usage::Add(total, counts);
   }
-  PrintHead(columns);
+  PrintHeader(columns);
   for (const auto& [names, counts] : sums) {
     PrintRow(names, counts);
   }
-  // Every line has as many words, for the tools that read it.
-  std::vector<std::string> all(columns.size(), "*");
-  all.front() = "total";
-  PrintRow(all, total);
+  // The total has as many words as every other row, since scripts read columns
+  // by position.
+  std::vector<std::string> total_row(columns.size(), "*");
+  total_row.front() = "total";
+  PrintRow(total_row, total);
   return Succeed();
 }
 
