--- a/StandIns/Caller.cc
+++ b/StandIns/Caller.cc
@@ -1,5 +1,5 @@
-// Stand-in for a crowd of callers: sends requests at full speed over a number
-// of connections and prints what came back and how long it took.
+// Stand-in for many callers, a load generator: keeps a fixed number of requests
+// in flight and prints how many succeeded and how long they took.
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -14,34 +14,38 @@
 ABSL_FLAG(std::string, method, "GET", "method of each request");
 ABSL_FLAG(std::string, path, "/", "path of each request");
 ABSL_FLAG(std::string, body, "", "body of each request");
-ABSL_FLAG(std::string, key, "", "owner's key to show");
-ABSL_FLAG(std::string, entry, "", "catalogue entry to name");
+ABSL_FLAG(std::string, key, "", "owner's key, sent as the bearer token");
+ABSL_FLAG(std::string, entry, "", "catalogue entry that is called");
 ABSL_FLAG(int, connections, 1, "requests in flight at once");
 ABSL_FLAG(int, requests, 1000, "requests in all");
-ABSL_FLAG(int, hold_seconds, 0, "open the requests, hold them, then leave");
+ABSL_FLAG(int,
+          hold_seconds,
+          0,
+          "seconds after which to exit with requests still open; 0 waits for "
+          "all answers");
 
 namespace bramleyspan::standins {
 
 namespace {
 
-struct Crowd {
+struct LoadGenerator {
   EventLoop& loop;
   http::Client client;
   http::ClientRequest request;
-  int left_to_start = 0;
+  int requests_to_start = 0;
   int in_flight = 0;
   int succeeded = 0;
   int failed = 0;
   size_t body_bytes = 0;
   std::vector<Duration> times;
 
-  explicit Crowd(EventLoop& loop) : loop(loop), client(loop) {}
+  explicit LoadGenerator(EventLoop& loop) : loop(loop), client(loop) {}
 
   void StartOne() {
-    if (this->left_to_start == 0) {
+    if (this->requests_to_start == 0) {
       return;
     }
-    --this->left_to_start;
+    --this->requests_to_start;
     ++this->in_flight;
     const TimePoint start = EventLoop::Now();
     auto status = std::make_shared<int>(0);
@@ -62,7 +66,7 @@
     --this->in_flight;
     (has_succeeded ? this->succeeded : this->failed) += 1;
     this->times.push_back(EventLoop::Now() - start);
-    if (this->left_to_start == 0 && this->in_flight == 0) {
+    if (this->requests_to_start == 0 && this->in_flight == 0) {
       this->loop.Stop();
       return;
     }
@@ -78,13 +82,13 @@
 
 int Run() {
   EventLoop loop;
-  Crowd crowd(loop);
+  LoadGenerator generator(loop);
   const auto address = ParseAddress(absl::GetFlag(FLAGS_address));
   if (address.has_error()) {
     std::cerr << Describe(address.error()) << "\n";
     return 2;
   }
-  crowd.request = {
+  generator.request = {
       .target = address.value(),
       .method = absl::GetFlag(FLAGS_method),
       .path = absl::GetFlag(FLAGS_path),
@@ -92,25 +96,26 @@
                   {"bramleyspan-entry", absl::GetFlag(FLAGS_entry)}},
       .body = absl::GetFlag(FLAGS_body),
       .timeout = std::chrono::minutes(5)};
-  crowd.left_to_start = absl::GetFlag(FLAGS_requests);
+  generator.requests_to_start = absl::GetFlag(FLAGS_requests);
   const TimePoint start = EventLoop::Now();
   const int connections = absl::GetFlag(FLAGS_connections);
   for (int i = 0; i < connections; ++i) {
-    crowd.StartOne();
+    generator.StartOne();
   }
   if (const int hold = absl::GetFlag(FLAGS_hold_seconds); hold > 0) {
     loop.RunAfter(std::chrono::seconds(hold), [&] { loop.Stop(); });
   }
   loop.Run();
   const std::chrono::duration<double> elapsed = EventLoop::Now() - start;
-  std::cout << "succeeded " << crowd.succeeded << " failed " << crowd.failed
-            << " in_flight " << crowd.in_flight << " bytes " << crowd.body_bytes
-            << " seconds " << elapsed.count();
-  if (!crowd.times.empty()) {
+  std::cout << "succeeded " << generator.succeeded << " failed "
+            << generator.failed << " in_flight " << generator.in_flight
+            << " bytes " << generator.body_bytes << " seconds "
+            << elapsed.count();
+  if (!generator.times.empty()) {
     std::cout << " per_second "
-              << static_cast<double>(crowd.times.size()) / elapsed.count()
-              << " p50_us " << Quantile(crowd.times, 0.5).count() << " p99_us "
-              << Quantile(crowd.times, 0.99).count();
+              << static_cast<double>(generator.times.size()) / elapsed.count()
+              << " p50_us " << Quantile(generator.times, 0.5).count()
+              << " p99_us " << Quantile(generator.times, 0.99).count();
   }
   std::cout << "\n";
   return 0;
--- a/StandIns/Common.h
+++ b/StandIns/Common.h
@@ -1,4 +1,4 @@
-// What all stand-ins share: their flags and how they start.
+// Start-up code that the stand-ins share.
 #pragma once
 
 #include <absl/flags/declare.h>
@@ -13,7 +13,8 @@
 
 namespace bramleyspan::standins {
 
-// Serves `handler` at `address` until SIGTERM; returns the exit status.
+// Serves `handler` at `address_text` until a stop signal; returns the exit
+// status of the process. An exception in `handler` answers 400.
 inline int Serve(EventLoop& loop,
                  const std::string& address_text,
                  http::Server::Handler handler) {
@@ -42,9 +43,9 @@
   return 0;
 }
 
-// What the `main` of a stand-in does: parses the flags, makes its state with
-// `make_state(loop)` and serves with `handle(state, request, exchange)` at
-// `address`, the value of its flag.
+// Body of a stand-in's `main`: parses the flags, creates its state with
+// `make_state(loop)` and serves `handle(state, request, exchange)` at the
+// address that the flag `address` holds.
 template <typename MakeState, typename Handle>
 int Run(int argument_count,
         char** arguments,
--- a/StandIns/KeyValueService.cc
+++ b/StandIns/KeyValueService.cc
@@ -1,6 +1,6 @@
-// Stand-in for the platform's key-value service, by the HTTP API published for
-// Consul's KV store: GET with blocking queries, PUT with ?cas=. PUT /control
-// with {"mode": ...} makes it fail as the brief says the real one does.
+// Stand-in for the platform's key-value service, with the HTTP API of Consul's
+// KV store: GET with blocking queries, PUT with ?cas=. PUT /control with
+// {"mode": ...} makes it fail in the ways that the real service can.
 
 #include <openssl/evp.h>
 
@@ -22,11 +22,12 @@
 
 enum class Mode {
   kServing,
-  // Every call waits without an answer and without effect.
+  // Calls are neither answered nor carried out.
   kOutage,
-  // Writes take effect, but their replies are lost.
+  // Writes take effect but are not answered.
   kLostReplies,
-  // The next write to a key that ends in "/head" is answered; then it is down.
+  // The next write to a key that ends in "/head" is answered; then the outage
+  // begins, before any blocking query sees the write.
   kOutageAfterHead,
 };
 
@@ -51,7 +52,7 @@
   std::map<std::string, Value> values;
   std::map<uint64_t, Waiter> waiters;
   uint64_t last_waiter = 0;
-  // Exchanges that never get an answer are held so that they stay open.
+  // Exchanges that never get an answer, kept so that they stay open.
   std::vector<ExchangePointer> unanswered;
 };
 
@@ -191,7 +192,7 @@
   const std::string mode = document.value("mode", "serving");
   state.mode = ParseMode(mode);
   if (document.contains("restore")) {
-    // The service comes back with an older state, as from a backup.
+    // Replaces the stored values, as a restore from an older backup does.
     for (const auto& [key, text] : document["restore"].items()) {
       state.values[key] = {text.get<std::string>(), ++state.index};
       WakeWaiters(state, key);
--- a/StandIns/ModelEngine.cc
+++ b/StandIns/ModelEngine.cc
@@ -1,5 +1,5 @@
-// Stand-in for a model engine, by the chat completions API published by
-// OpenAI. It batches: all running requests gain one token a step.
+// Stand-in for a model engine with OpenAI's chat completions API. It batches:
+// in each step, every running request gains one token.
 
 #include <map>
 #include <nlohmann/json.hpp>
@@ -7,7 +7,10 @@
 #include "StandIns/Common.h"
 
 ABSL_FLAG(std::string, address, "127.0.0.1:8000", "IP:PORT to listen on");
-ABSL_FLAG(int, step_milliseconds, 10, "time of a step, one token a request");
+ABSL_FLAG(int,
+          step_milliseconds,
+          10,
+          "duration of a step, in which each running request gains one token");
 ABSL_FLAG(int, slots, 16, "requests that run at once");
 
 namespace bramleyspan::standins {
@@ -19,11 +22,11 @@
 
 constexpr int kDefaultTokens = 16;
 
-struct Running {
+struct RunningRequest {
   ExchangePointer exchange;
   bool is_streaming = false;
   int tokens_left = 0;
-  int tokens_made = 0;
+  int tokens_sent = 0;
   std::string prompt;
   std::string text;
 };
@@ -32,20 +35,21 @@
   EventLoop& loop;
   Duration step;
   size_t slots;
-  std::map<uint64_t, Running> requests;
+  std::map<uint64_t, RunningRequest> requests;
   uint64_t last_request = 0;
   uint64_t cancelled = 0;
   uint64_t completed = 0;
 };
 
-// The text shows whose answer it is, so that a mixed-up answer is seen.
-std::string NextToken(const Running& running) {
-  return running.prompt + "#" + std::to_string(running.tokens_made) + " ";
+// Returns the next token. It contains the request's prompt, so that tests can
+// see a token that was sent to the wrong caller.
+std::string NextToken(const RunningRequest& running) {
+  return running.prompt + "#" + std::to_string(running.tokens_sent) + " ";
 }
 
-void SendToken(Running& running) {
+void SendToken(RunningRequest& running) {
   const std::string token = NextToken(running);
-  ++running.tokens_made;
+  ++running.tokens_sent;
   --running.tokens_left;
   running.text += token;
   if (running.is_streaming) {
@@ -55,7 +59,7 @@
   }
 }
 
-void Finish(const Running& running) {
+void Finish(const RunningRequest& running) {
   if (running.is_streaming) {
     running.exchange->Write("data: [DONE]\n\n");
     running.exchange->Finish();
@@ -66,7 +70,7 @@
        {{{"index", 0},
          {"message", {{"role", "assistant"}, {"content", running.text}}},
          {"finish_reason", "stop"}}}},
-      {"usage", {{"completion_tokens", running.tokens_made}}}};
+      {"usage", {{"completion_tokens", running.tokens_sent}}}};
   running.exchange->Respond({.headers = {{"content-type", "application/json"}},
                              .body = answer.dump()});
 }
@@ -76,7 +80,7 @@
   for (auto item = state.requests.begin();
        item != state.requests.end() && batched < state.slots;) {
     ++batched;
-    Running& running = item->second;
+    RunningRequest& running = item->second;
     SendToken(running);
     if (running.tokens_left > 0) {
       ++item;
@@ -98,7 +102,7 @@
     exchange->Respond({.status = 400, .body = "{\"error\":\"messages\"}"});
     return;
   }
-  Running running;
+  RunningRequest running;
   running.exchange = exchange;
   running.is_streaming = document.value("stream", false);
   running.tokens_left = document.value("max_tokens", kDefaultTokens);
--- a/StandIns/PlainService.cc
+++ b/StandIns/PlainService.cc
@@ -1,5 +1,5 @@
-// Stand-in for a plain service: POST /issue runs each time it is called and
-// counts how often each body ran; GET /status/ID may repeat freely.
+// Stand-in for a plain service: POST /issue is not idempotent and counts the
+// runs of each body; GET /status/ID, which returns the count, may be repeated.
 
 #include <map>
 #include <nlohmann/json.hpp>
@@ -7,7 +7,7 @@
 #include "StandIns/Common.h"
 
 ABSL_FLAG(std::string, address, "127.0.0.1:8000", "IP:PORT to listen on");
-ABSL_FLAG(int, work_milliseconds, 5, "how long a call takes");
+ABSL_FLAG(int, work_milliseconds, 5, "duration of a call of /issue");
 
 namespace bramleyspan::standins {
 
--- a/StandIns/UsersPlatform/Main.cc
+++ b/StandIns/UsersPlatform/Main.cc
@@ -1,18 +1,17 @@
-// Stand-in for the users' platform: its store, a group of model servers and two
-// servers of a plain service, all in one process, which knows of every run.
-// Its control address takes an operator's changes and tells what ran:
+// Stand-in for the users' platform: its store, a group of model servers and the
+// servers of two plain services, all in one process, which counts every run.
+// Its control address changes the platform's state and returns the counts:
 //
-//   PUT /config          a new desired state, the body
-//   PUT /server?id=&state=   ready, draining or gone
-//   PUT /store?mode=     serving, down, silent, losing (answers) or late
-//   (writes);
-//                        forget drops history
-//   PUT /door?mode=      serving, refusing or silent: the store's second
-//   address
-//                        alone, to turn away whoever calls there
-//   PUT /orders?lose=go  from now on such orders are lost (arm: at the last
-//                        rank only); none: no longer
-//   GET /status          runs by attempt, splits and switches of the group
+// - PUT /config: the body becomes the desired state in the store.
+// - PUT /server?id=&state=: sets a server to ready, draining or gone.
+// - PUT /store?mode=: serving, down, silent, losing (see StoreMode) or late;
+//   forget drops the history of changes.
+// - PUT /door?mode=: serving, refusing or silent, for the store's second
+//   address alone, so that a test can cut off one process.
+// - PUT /orders?lose=KIND: from now on orders of this kind are lost (arm: at
+//   the last rank only); none ends it.
+// - GET /status: runs by attempt and by server, splits and switches of the
+//   group, and its held and armed ranks.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 
@@ -22,10 +21,13 @@
 
 #include "StandIns/UsersPlatform/Ranks.h"
 
-ABSL_FLAG(std::string, net, "127.0", "the first two numbers of all addresses");
+ABSL_FLAG(std::string, net, "127.0", "first two numbers of all addresses");
 ABSL_FLAG(int, ranks, 2, "ranks of the group");
-ABSL_FLAG(int, pass_milliseconds, 40, "time of a pass, one event a stream");
-ABSL_FLAG(int, work_milliseconds, 50, "time of a plain request");
+ABSL_FLAG(int,
+          pass_milliseconds,
+          40,
+          "duration of a pass, in which each stream sends one event");
+ABSL_FLAG(int, work_milliseconds, 50, "duration of a plain request");
 
 namespace bramleyspan::standins {
 
@@ -42,13 +44,12 @@
 struct Platform {
   EventLoop loop;
   UsersStore store;
-  // How the store's second address treats its callers.
-  std::string door = "serving";
+  // Mode of the store's second address: serving, refusing or silent.
+  std::string second_address_mode = "serving";
   StandInGroup group;
   std::vector<PlainServer> plain;
   std::map<std::string, uint64_t> runs;
-  // Runs by server.
-  std::map<std::string, uint64_t> runs_at;
+  std::map<std::string, uint64_t> runs_by_server;
   std::vector<std::unique_ptr<http::Ingress>> listeners;
 };
 
@@ -95,7 +96,7 @@
     return;
   }
   ++platform.runs[attempt];
-  ++platform.runs_at[server.id];
+  ++platform.runs_by_server[server.id];
   const std::string tenant(http::FindHeader(request.headers, "x-tenant"));
   platform.loop.RunAfter(
       std::chrono::milliseconds(absl::GetFlag(FLAGS_work_milliseconds)),
@@ -109,11 +110,11 @@
 
 void SetStore(UsersStore& store, const std::string& mode) {
   if (mode == "forget") {
-    Forget(store);
+    DropHistory(store);
     return;
   }
   store.mode = mode == "down"     ? StoreMode::kDown
-               : mode == "silent" ? StoreMode::kSilent
+               : mode == "silent" ? StoreMode::kUnresponsive
                : mode == "losing" ? StoreMode::kLosingAnswers
                : mode == "late"   ? StoreMode::kLateWrites
                                   : StoreMode::kServing;
@@ -131,7 +132,7 @@
     SetStore(platform.store, http::FindQueryValue(request.query, "mode"));
   }
   if (request.path == "/door") {
-    platform.door = http::FindQueryValue(request.query, "mode");
+    platform.second_address_mode = http::FindQueryValue(request.query, "mode");
   }
   if (request.path == "/orders") {
     platform.group.lost_order = http::FindQueryValue(request.query, "lose");
@@ -144,7 +145,7 @@
       std::count_if(ranks.begin(), ranks.end(),
                     [](const StandInRank& rank) { return rank.armed != 0; });
   const json status = {{"runs", platform.runs},
-                       {"runs_at", platform.runs_at},
+                       {"runs_at", platform.runs_by_server},
                        {"splits", platform.group.splits},
                        {"switches", platform.group.switches},
                        {"held", held},
@@ -176,12 +177,12 @@
   return true;
 }
 
-void HandleSecondDoor(Platform& platform,
-                      const http::IngressRequest& request,
-                      const ExchangePointer& exchange) {
-  if (platform.door == "refusing") {
+void HandleSecondAddress(Platform& platform,
+                         const http::IngressRequest& request,
+                         const ExchangePointer& exchange) {
+  if (platform.second_address_mode == "refusing") {
     exchange->Respond(503, {}, "{}");
-  } else if (platform.door == "serving") {
+  } else if (platform.second_address_mode == "serving") {
     HandleStoreCall(platform.store, request, exchange);
   }
 }
@@ -190,7 +191,7 @@
   bool is_listening =
       Listen(platform, net + ".0.20:7002",
              [&platform](const auto& request, const auto& exchange) {
-               HandleSecondDoor(platform, request, exchange);
+               HandleSecondAddress(platform, request, exchange);
              }) &&
       Listen(platform, net + ".0.20:7000",
              [&platform](const auto& request, const auto& exchange) {
@@ -219,17 +220,18 @@
   return is_listening;
 }
 
-void AdvanceForever(Platform& platform) {
+void AdvanceStoreRepeatedly(Platform& platform) {
   constexpr Duration kInterval = std::chrono::milliseconds(20);
   Advance(platform.store, EventLoop::Now());
-  platform.loop.RunAfter(kInterval, [&platform] { AdvanceForever(platform); });
+  platform.loop.RunAfter(kInterval,
+                         [&platform] { AdvanceStoreRepeatedly(platform); });
 }
 
-void PassForever(Platform& platform) {
+void BeginPassesRepeatedly(Platform& platform) {
   BeginPass(platform.group);
   platform.loop.RunAfter(
       std::chrono::milliseconds(absl::GetFlag(FLAGS_pass_milliseconds)),
-      [&platform] { PassForever(platform); });
+      [&platform] { BeginPassesRepeatedly(platform); });
 }
 
 int Run() {
@@ -253,8 +255,8 @@
   for (const PlainServer& server : platform.plain) {
     SetServer(platform, server.id, "ready");
   }
-  AdvanceForever(platform);
-  PassForever(platform);
+  AdvanceStoreRepeatedly(platform);
+  BeginPassesRepeatedly(platform);
   platform.loop.OnStopSignal([&platform] { platform.loop.Stop(); });
   platform.loop.Run();
   return 0;
--- a/StandIns/UsersPlatform/Ranks.cc
+++ b/StandIns/UsersPlatform/Ranks.cc
@@ -11,7 +11,8 @@
 
 constexpr Duration kCopyTime = std::chrono::milliseconds(60);
 constexpr uint64_t kEventsOfStream = 20;
-// Choices of one stream in one pass; the first expert of each set takes most.
+// How often one stream chooses an expert in one pass: the first expert of each
+// set, and each other one.
 constexpr uint64_t kHotChoices = 200;
 constexpr uint64_t kOtherChoices = 20;
 
@@ -51,10 +52,10 @@
   return report;
 }
 
-void Picked(const StandInGroup& group,
-            const StandInRank& rank,
-            bool wants_lists,
-            const ExchangePointer& exchange) {
+void AnswerPicked(const StandInGroup& group,
+                  const StandInRank& rank,
+                  bool wants_lists,
+                  const ExchangePointer& exchange) {
   if (!wants_lists) {
     RespondJson(exchange, 200,
                 {{"step", group.step}, {"epoch", 1}, {"counts", rank.counts}});
@@ -68,7 +69,9 @@
               {{"map", {{"version", rank.map_version}, {"experts", experts}}}});
 }
 
-// The status of an order that the rank's state decides.
+// Prepare, Arm, Hold and Go apply an order to the rank's state. Each returns
+// the status of its answer: 200 or 202 if accepted, 409 if the state forbids
+// it.
 int Prepare(StandInRank& rank, const json& order) {
   const uint64_t version = order.at("version").get<uint64_t>();
   if (version == rank.prepared) {
@@ -110,7 +113,9 @@
   return 200;
 }
 
-int Carry(const StandInGroup& group, StandInRank& rank, const json& order) {
+int ExecuteOrder(const StandInGroup& group,
+                 StandInRank& rank,
+                 const json& order) {
   if (order.value("epoch", uint64_t{1}) != 1) {
     return 409;
   }
@@ -170,7 +175,7 @@
   }
 }
 
-void Count(StandInRank& rank) {
+void CountChoices(StandInRank& rank) {
   for (size_t i = 0; i < rank.counts.size(); ++i) {
     rank.counts[i] +=
         rank.streams.size() * (i % kExperts == 0 ? kHotChoices : kOtherChoices);
@@ -221,7 +226,7 @@
       });
   group.splits += is_split ? 1 : 0;
   for (StandInRank& rank : group.ranks) {
-    Count(rank);
+    CountChoices(rank);
     Advance(rank);
   }
 }
@@ -235,7 +240,7 @@
   } else if (request.path == "/picked") {
     const bool wants_lists =
         !http::FindQueryValue(request.query, "lists").empty();
-    Picked(group, rank, wants_lists, exchange);
+    AnswerPicked(group, rank, wants_lists, exchange);
   } else if (request.path == "/order") {
     const json order = json::parse(request.body);
     const bool is_last = IndexOf(group, rank) + 1 == group.ranks.size();
@@ -243,7 +248,7 @@
         (is_last || group.lost_order != "arm")) {
       return;
     }
-    RespondJson(exchange, Carry(group, rank, order), json::object());
+    RespondJson(exchange, ExecuteOrder(group, rank, order), json::object());
   } else {
     StartStream(group, rank, request, exchange);
   }
--- a/StandIns/UsersPlatform/Ranks.h
+++ b/StandIns/UsersPlatform/Ranks.h
@@ -1,6 +1,7 @@
-// A group of the users' model servers: ranks that begin each pass together, on
-// maps that they take by orders. It checks the rule that the system must keep:
-// no pass begins while two ranks have different maps.
+// A group of the users' model servers: ranks that begin each pass together,
+// with expert maps that they switch by orders. It counts violations of the
+// invariant that the system must keep: no pass begins while two ranks have
+// different maps.
 #pragma once
 
 #include <cstdint>
@@ -14,9 +15,9 @@
 
 constexpr uint32_t kSets = 2;
 constexpr uint32_t kExperts = 8;
-constexpr uint32_t kPlaces = 6;
+constexpr uint32_t kExpertSlots = 6;
 
-// The experts of each set and rank.
+// Lists of experts, indexed by set and rank.
 using MapLists = std::vector<std::vector<std::vector<uint16_t>>>;
 
 struct RunningStream {
@@ -51,16 +52,17 @@
   // Passes that began while two ranks had different maps.
   uint64_t splits = 0;
   uint64_t switches = 0;
-  // Orders of this kind are lost before they are carried out; arms only at the
+  // Orders of this kind are dropped without an answer; arm orders only at the
   // last rank.
   std::string lost_order;
-  // How often each attempt began to run, at these and at plain servers.
+  // How often each attempt began to run, at the ranks and at plain servers.
   std::map<std::string, uint64_t>* runs = nullptr;
 };
 
 StandInGroup MakeGroup(const std::vector<std::string>& addresses);
 
-// Begins the next pass if nothing holds the group and something runs.
+// Begins the next pass, unless a rank holds the group before it or no stream is
+// running.
 void BeginPass(StandInGroup& group);
 
 void HandleRankCall(StandInGroup& group,
--- a/StandIns/UsersPlatform/Store.cc
+++ b/StandIns/UsersPlatform/Store.cc
@@ -53,7 +53,7 @@
          store.mode == StoreMode::kLateWrites;
 }
 
-void Note(UsersStore& store, StoreEvent event) {
+void RecordChange(UsersStore& store, StoreEvent event) {
   store.history.push_back(std::move(event));
   for (auto watcher = store.watchers.begin();
        watcher != store.watchers.end();) {
@@ -92,7 +92,7 @@
   const uint64_t after =
       std::stoull(http::FindQueryValue(request.query, "after"));
   const int wait = std::stoi(http::FindQueryValue(request.query, "wait_ms"));
-  if (after < store.forgotten) {
+  if (after < store.dropped_until) {
     RespondJson(exchange, 410, json::object());
     return;
   }
@@ -109,7 +109,7 @@
        .until = EventLoop::Now() + std::chrono::milliseconds(wait)});
 }
 
-// Carries a transaction out if its conditions hold; gives the status.
+// Executes a transaction if its conditions hold. Returns the status.
 int Transact(UsersStore& store, const json& body) {
   for (const json& row : body.value("expected_rev", json::array())) {
     const std::string key = row.at("key").get<std::string>();
@@ -138,10 +138,10 @@
 void HandleTransaction(UsersStore& store,
                        const http::IngressRequest& request,
                        const ExchangePointer& exchange) {
-  constexpr Duration kLateBy = std::chrono::milliseconds(2500);
+  constexpr Duration kWriteDelay = std::chrono::milliseconds(2500);
   if (store.mode == StoreMode::kLateWrites) {
-    store.late.push_back(
-        {.due = EventLoop::Now() + kLateBy, .body = request.body});
+    store.late_writes.push_back(
+        {.due = EventLoop::Now() + kWriteDelay, .body = request.body});
     return;
   }
   const int status = Transact(store, json::parse(request.body));
@@ -188,21 +188,21 @@
   if (item.created == 0) {
     item.created = item.revision;
   }
-  Note(store, {.key = key, .item = item});
+  RecordChange(store, {.key = key, .item = item});
 }
 
 void Remove(UsersStore& store, const std::string& key) {
   if (store.items.erase(key) == 0) {
     return;
   }
-  Note(
+  RecordChange(
       store,
       {.key = key, .item = {.revision = ++store.revision}, .is_removed = true});
 }
 
-void Forget(UsersStore& store) {
+void DropHistory(UsersStore& store) {
   store.history.clear();
-  store.forgotten = store.revision;
+  store.dropped_until = store.revision;
   for (const Watcher& watcher : store.watchers) {
     watcher.exchange->Abort();
   }
@@ -210,9 +210,9 @@
 }
 
 void Advance(UsersStore& store, TimePoint now) {
-  while (!store.late.empty() && store.late.front().due <= now) {
-    const std::string body = std::move(store.late.front().body);
-    store.late.pop_front();
+  while (!store.late_writes.empty() && store.late_writes.front().due <= now) {
+    const std::string body = std::move(store.late_writes.front().body);
+    store.late_writes.pop_front();
     Transact(store, json::parse(body));
   }
   std::vector<std::string> expired;
@@ -243,7 +243,7 @@
                      const ExchangePointer& exchange) {
   if (store.mode == StoreMode::kDown) {
     RespondJson(exchange, 503, json::object());
-  } else if (store.mode == StoreMode::kSilent) {
+  } else if (store.mode == StoreMode::kUnresponsive) {
     return;
   } else if (request.path == "/kv-range") {
     Range(store, request, exchange);
--- a/StandIns/UsersPlatform/Store.h
+++ b/StandIns/UsersPlatform/Store.h
@@ -1,5 +1,5 @@
-// The users' key-value store as their protocol page describes it: revisions,
-// ranges, watches, transactions and leases, and how it fails.
+// The users' key-value store with revisions, ranges, watches, transactions and
+// leases, and its failure modes.
 #pragma once
 
 #include <cstdint>
@@ -15,23 +15,26 @@
 
 using ExchangePointer = std::shared_ptr<http::IngressExchange>;
 
-// How the store treats the system's calls; an operator's write always works.
+// How the store handles calls of the system under test. Writes through the
+// control address always take effect.
 enum class StoreMode {
   kServing,
-  // Says 503 to everybody.
+  // Answers 503 to every call.
   kDown,
-  // Reads everything and answers nothing.
-  kSilent,
-  // Does what is asked and loses the answer.
+  // Reads every call and neither executes nor answers it.
+  kUnresponsive,
+  // Executes writes without answering those that succeed, and ends waiting
+  // watches without an answer.
   kLosingAnswers,
-  // Answers no write and carries it out seconds later, if its condition still
-  // holds then. Reads are answered.
+  // Does not answer writes and executes each 2.5 s later, if its condition
+  // still holds then. Reads are answered.
   kLateWrites,
 };
 
-// A write that waits to be carried out, as its call's body.
+// A delayed write.
 struct LateWrite {
   TimePoint due;
+  // The body of its call.
   std::string body;
 };
 
@@ -58,14 +61,14 @@
 struct UsersStore {
   std::map<std::string, StoredItem> items;
   std::deque<StoreEvent> history;
-  // Changes up to this revision are forgotten.
-  uint64_t forgotten = 0;
+  // Changes up to this revision are no longer in the history.
+  uint64_t dropped_until = 0;
   uint64_t revision = 10;
   std::map<uint64_t, TimePoint> leases;
   uint64_t last_lease = 0;
   std::list<Watcher> watchers;
   StoreMode mode = StoreMode::kServing;
-  std::deque<LateWrite> late;
+  std::deque<LateWrite> late_writes;
 };
 
 void Put(UsersStore& store,
@@ -74,10 +77,12 @@
          uint64_t lease = 0);
 void Remove(UsersStore& store, const std::string& key);
 
-// Drops the history, so that watches have to read everything again.
-void Forget(UsersStore& store);
+// Drops the history of changes and aborts all watches, whose clients have to
+// read the whole range again.
+void DropHistory(UsersStore& store);
 
-// Ends leases and watches whose time is over, and carries late writes out.
+// Executes the delayed writes that are due, removes the items of expired leases
+// and ends watches whose wait is over.
 void Advance(UsersStore& store, TimePoint now);
 
 // Answers a call of the system.
--- a/StandIns/VmList.cc
+++ b/StandIns/VmList.cc
@@ -1,4 +1,4 @@
-// Stand-in for the platform's VM list. Changes show after a lag.
+// Stand-in for the platform's VM list. Changes become visible after a lag.
 
 #include <map>
 #include <nlohmann/json.hpp>
@@ -6,7 +6,7 @@
 #include "StandIns/Common.h"
 
 ABSL_FLAG(std::string, address, "127.0.0.1:8600", "IP:PORT to listen on");
-ABSL_FLAG(int, lag_milliseconds, 500, "how late a change shows");
+ABSL_FLAG(int, lag_milliseconds, 500, "delay until a change is visible");
 
 namespace bramleyspan::standins {
 
@@ -20,7 +20,8 @@
   std::map<std::string, json> vms;
 };
 
-// PUT /v1/vms/NAME files or changes a VM, DELETE removes it; both late.
+// Handles GET /v1/vms, which lists the VMs, and PUT and DELETE /v1/vms/NAME,
+// which add or replace a VM and remove it, both after the lag.
 void Handle(State& state,
             const http::Request& request,
             const std::shared_ptr<http::Exchange>& exchange) {
--- a/StandIns/WeightStore.cc
+++ b/StandIns/WeightStore.cc
@@ -1,5 +1,5 @@
-// Stand-in for the weight store: GET /objects/NAME?bytes=N answers N bytes no
-// faster than the store's rate, which all readers share.
+// Stand-in for the weight store: GET /objects/NAME?bytes=N answers N bytes. All
+// readers share the store's rate.
 
 #include <algorithm>
 #include <charconv>
@@ -7,7 +7,10 @@
 #include "StandIns/Common.h"
 
 ABSL_FLAG(std::string, address, "127.0.0.1:8700", "IP:PORT to listen on");
-ABSL_FLAG(int64_t, bytes_per_second, 50'000'000, "rate shared by all readers");
+ABSL_FLAG(int64_t,
+          bytes_per_second,
+          50'000'000,
+          "rate of all readers together");
 
 namespace bramleyspan::standins {
 
@@ -16,7 +19,7 @@
 struct State {
   EventLoop& loop;
   int64_t bytes_per_second;
-  // When the bytes promised so far will have been sent.
+  // When the bytes of all requests so far will have been sent.
   TimePoint busy_until;
 };
 
