--- a/Specs/Attempts.pml
+++ b/Specs/Attempts.pml
@@ -1,57 +1,58 @@
-// What a gateway makes of one request that it sends to targets: when it may
-// send it to a second one, and when it may say "not run". A target may turn the
-// request away, run it and answer, run it and lose the answer, or run it long
-// after the gateway gave up. Guards: Services/bramleyspand/Gateway/
-// Forwarding.cc and ForwardingAnswers.cc.
+// The attempts of a gateway for one request: when it may send the request to a
+// second target, and when it may answer "not run". A target may reject the
+// request, run it and answer, run it and lose the answer, or run it long after
+// the gateway timed out. The guards are in
+// Services/bramleyspand/Gateway/Forwarding.cc and ForwardingAnswers.cc.
 //
-// Each variant takes a guard out:
+// Each variant removes a guard:
 // variant RETRY_AFTER_CLOSE
 // variant REFUSE_WHEN_OUT_OF_TIME
 // variant FORGET_FIRST_TARGET
 
 #define TARGETS 3
-#define MOST_SENT 2
+#define MAX_SENT 2
 
-mtype = { kIdle, kOnItsWay, kDone };
-mtype = { kNone, kUnreached, kRejected, kClosed, kAnswered };
-mtype = { kPending, kPassedOn, kRefused, kUnknown };
+mtype = { kIdle, kInTransit, kDone };
+mtype = { kNone, kNotConnected, kRejected, kClosed, kAnswered };
+mtype = { kPending, kForwarded, kRefused, kUnknown };
 
-// The request at each target, and what the gateway hears of it.
-mtype travel[TARGETS] = kIdle;
-mtype heard[TARGETS] = kNone;
+// State of the request at each target, and its result as the gateway knows it.
+mtype delivery[TARGETS] = kIdle;
+mtype result[TARGETS] = kNone;
 
 bool is_repeatable;
 byte runs = 0;
 mtype outcome = kPending;
 
-// A target runs a request that reached it, turns it away, or loses its answer.
-// It may also come to it only after the gateway heard of a closed connection.
+// A target rejects the request that reached it, or runs it and answers or loses
+// the answer. It may also process the request only after the gateway has seen
+// the connection close.
 proctype Target(byte self) {
-  travel[self] == kOnItsWay;
+  delivery[self] == kInTransit;
   if
   :: atomic {
-       travel[self] = kDone;
+       delivery[self] = kDone;
        if
-       :: heard[self] == kNone -> heard[self] = kRejected
+       :: result[self] == kNone -> result[self] = kRejected
        :: else
        fi
      }
   :: atomic {
        runs++;
-       travel[self] = kDone;
+       delivery[self] = kDone;
        if
-       :: heard[self] == kNone -> heard[self] = kAnswered
-       :: heard[self] == kNone -> heard[self] = kClosed
+       :: result[self] == kNone -> result[self] = kAnswered
+       :: result[self] == kNone -> result[self] = kClosed
        :: else
        fi
      }
   :: atomic {
-       heard[self] == kNone -> heard[self] = kClosed;
+       result[self] == kNone -> result[self] = kClosed;
        if
        :: runs++
        :: skip
        fi;
-       travel[self] = kDone
+       delivery[self] = kDone
      }
   fi
 }
@@ -61,25 +62,25 @@
   byte sent = 0;
   bool may_have_run = false;
   do
-  :: target < TARGETS && sent < MOST_SENT ->
+  :: target < TARGETS && sent < MAX_SENT ->
     if
     // The connection was never established.
-    :: heard[target] = kUnreached
+    :: result[target] = kNotConnected
     :: atomic {
          sent++;
          may_have_run = true;
-         travel[target] = kOnItsWay
+         delivery[target] = kInTransit
        };
        if
-       :: heard[target] != kNone
-       // Time runs out: nothing more is heard of it.
-       :: atomic { heard[target] == kNone -> heard[target] = kClosed }
+       :: result[target] != kNone
+       // Timeout: the gateway receives nothing more from this target.
+       :: atomic { result[target] == kNone -> result[target] = kClosed }
        fi
     fi;
     if
-    :: heard[target] == kAnswered -> outcome = kPassedOn; break
-    :: heard[target] == kUnreached -> target++
-    :: heard[target] == kRejected ->
+    :: result[target] == kAnswered -> outcome = kForwarded; break
+    :: result[target] == kNotConnected -> target++
+    :: result[target] == kRejected ->
        atomic {
          sent--;
 #ifdef FORGET_FIRST_TARGET
@@ -89,7 +90,7 @@
 #endif
          target++
        }
-    :: heard[target] == kClosed ->
+    :: result[target] == kClosed ->
        if
 #ifdef RETRY_AFTER_CLOSE
        :: true -> target++
@@ -99,11 +100,11 @@
 #endif
        fi
     fi
-  // The route's bound, the time or the targets are at an end.
+  // The limit of attempts, the deadline or the last target is reached.
   :: target > 0 -> break
   od;
   if
-  :: outcome == kPassedOn
+  :: outcome == kForwarded
 #ifdef REFUSE_WHEN_OUT_OF_TIME
   :: outcome == kPending -> outcome = kRefused
 #else
@@ -113,7 +114,7 @@
   fi
 }
 
-// What may not be repeated runs at most once, and what was refused never runs.
+// A request that may not be repeated runs at most once, and a refused one never.
 proctype Monitor() {
   do
   :: assert(is_repeatable || runs <= 1);
--- a/Specs/Claims.pml
+++ b/Specs/Claims.pml
@@ -1,43 +1,44 @@
 // At-most-once calls (Libraries/LibClaims, Libraries/LibCalls/AgentCalls).
 //
-// Two claim keys of agent incarnation 1. Callers show them again and again by
-// any entry; a message may be lost, late or double, so that what is on the way
-// to the agents is a count for each key. The agent of incarnation 1 may be
-// killed, or frozen and woken, at any step; an agent of incarnation 2 serves
-// beside it from any moment on. The back end runs what it was sent whenever it
-// likes, also after the agent has given it up or died.
+// Two claim keys of agent incarnation 1. Callers present them repeatedly, each
+// time through any entry. A message may be lost, delayed or duplicated, so the
+// messages in transit to the agents are a count for each key. The agent of
+// incarnation 1 may be killed, or frozen and woken, at any step; an agent of
+// incarnation 2 serves beside it from any moment on. The back end runs a
+// forwarded call at any later time, also after the agent gave it up or died.
 //
-// Properties, as assertions: a key runs at most once; "not run" is said only of
-// a key that has not run and never will; an answer is the key's own.
+// Properties, as assertions: a key runs at most once; "not run" is answered only
+// for a key that has not run and never will; a key gets only its own answer.
 //
-// Each guard can be taken out; each of these must yield a counterexample:
-// variant NO_BURN              "not run" is said and the key stays usable
-// variant NO_INCARNATION_CHECK a restarted agent takes its predecessor's keys
-// variant NO_EPOCH_CHECK       a forgotten key counts as never seen
+// Each variant removes a guard and must yield a counterexample:
+// variant NO_BURN              "not run" is answered and the key stays usable
+// variant NO_INCARNATION_CHECK a restarted agent accepts its predecessor's keys
+// variant NO_EPOCH_CHECK       a key of an expired epoch counts as never seen
 // variant FORWARD_AGAIN        a duplicate of a running key is forwarded
 // variant RETRY_BROKEN         the agent forwards again after a broken exchange
 // variant BROKEN_IS_NOT_RUN    a broken exchange counts as never sent
-// variant ENTRY_GUESSES        an entry that finds no agent says "not run"
+// variant ENTRY_GUESSES        an entry that finds no agent answers "not run"
 // variant MATCH_BY_ORDER       an answer goes to the oldest open exchange
-// variant SEAL_BEFORE_LEAVING  an agent seals its keys and still takes new ones
-// variant SEAL_WITHOUT_EPOCH   a seal says nothing of keys that are forgotten
-// variant SEAL_ONLY_DONE       a seal names only the keys that are known to be done
+// variant SEAL_BEFORE_LEAVING  an agent makes its closing record and still accepts new keys
+// variant SEAL_WITHOUT_EPOCH   a closing record omits keys of expired epochs
+// variant SEAL_ONLY_DONE       a closing record names only keys that are known to be done
 //
-// An agent that is leaving refuses every new key; once nothing is running it
-// seals its keys (LibClaims/Seal), and entries answer for it ever after.
+// An agent that is leaving refuses every new key. Once nothing is running, it
+// makes its closing record (LibClaims/ClosingRecord), from which entries answer
+// for its keys from then on.
 
 #define KEYS 2
 #define FORWARDS 3
-#define SHOWS 3
+#define MAX_PRESENTED 3
 #define OWNER 1
 
 mtype = { kNone, kRunning, kDone, kRefused, kUnknown };
 mtype = { kUnsent, kSent, kRan };
 
-byte shown[KEYS];
-byte on_the_way[KEYS];
+byte times_presented[KEYS];
+byte in_transit[KEYS];
 byte runs[KEYS];
-bool is_told_not_run[KEYS];
+bool was_answered_not_run[KEYS];
 
 byte forwards;
 mtype phase[FORWARDS];
@@ -48,18 +49,18 @@
 // Variables of the two agents, by incarnation - 1.
 mtype record[4];
 byte answer[4];
-bool is_forgotten[2];
+bool has_expired[2];
 bool is_alive[2];
 bool is_leaving[2];
-bool is_sealed;
+bool has_closing_record;
 bool may_have_run[KEYS];
 
 #define RECORD(a, k) record[(a) * KEYS + (k)]
 #define ANSWER(a, k) answer[(a) * KEYS + (k)]
 
-inline TellNotRun(k) {
+inline AnswerNotRun(k) {
   assert(runs[k] == 0);
-  is_told_not_run[k] = true
+  was_answered_not_run[k] = true
 }
 
 inline Forward(a, k) {
@@ -75,7 +76,7 @@
   fi
 }
 
-// AdmitClaim and what ReceiveCall makes of its decision.
+// AdmitClaim, and how ReceiveCall handles its decision.
 inline ReceiveCall(a, k) {
   if
 #ifndef NO_INCARNATION_CHECK
@@ -88,13 +89,13 @@
      :: RECORD(a, k) == kNone ->
         if
 #ifndef NO_EPOCH_CHECK
-        :: is_forgotten[a] -> skip /* kIsUnknown */
+        :: has_expired[a] -> skip /* kIsUnknown */
         :: else ->
 #else
         :: true ->
 #endif
            if
-           :: is_leaving[a] -> RECORD(a, k) = kRefused; TellNotRun(k)
+           :: is_leaving[a] -> RECORD(a, k) = kRefused; AnswerNotRun(k)
            :: else -> Forward(a, k)
            fi
         fi
@@ -102,10 +103,10 @@
 #ifdef FORWARD_AGAIN
         Forward(a, k)
 #else
-        skip /* Attach */
+        skip /* AddWaiter */
 #endif
      :: RECORD(a, k) == kDone -> assert(ANSWER(a, k) == k)
-     :: RECORD(a, k) == kRefused -> TellNotRun(k)
+     :: RECORD(a, k) == kRefused -> AnswerNotRun(k)
      :: RECORD(a, k) == kUnknown -> skip
      fi
   fi
@@ -117,14 +118,14 @@
 #else
   RECORD(a, key_of[f]) = kRefused;
 #endif
-  TellNotRun(key_of[f]);
+  AnswerNotRun(key_of[f]);
   is_open[f] = false
 }
 
 inline ReceiveEndBroken(a, f) {
 #ifdef BROKEN_IS_NOT_RUN
   RECORD(a, key_of[f]) = kRefused;
-  TellNotRun(key_of[f]);
+  AnswerNotRun(key_of[f]);
   is_open[f] = false
 #else
 #ifdef RETRY_BROKEN
@@ -161,7 +162,7 @@
   :: atomic { is_alive[a] ->
        select(k : 0 .. KEYS - 1);
        if
-       :: on_the_way[k] > 0 -> on_the_way[k]--; ReceiveCall(a, k)
+       :: in_transit[k] > 0 -> in_transit[k]--; ReceiveCall(a, k)
        :: else
        fi;
        k = 0 }
@@ -178,9 +179,9 @@
        :: else
        fi;
        f = 0 }
-  :: atomic { is_alive[a] && !is_forgotten[a] ->
-       // ForgetOldEpochs keeps the keys that are running.
-       is_forgotten[a] = true;
+  :: atomic { is_alive[a] && !has_expired[a] ->
+       // RemoveExpiredEpochs keeps the keys that are running.
+       has_expired[a] = true;
        k = 0;
        do
        :: k < KEYS ->
@@ -193,23 +194,23 @@
        od;
        k = 0 }
   :: atomic { is_alive[a] && !is_leaving[a] -> is_leaving[a] = true }
-  :: atomic { is_alive[a] && a + 1 == OWNER && !is_sealed &&
+  :: atomic { is_alive[a] && a + 1 == OWNER && !has_closing_record &&
 #ifndef SEAL_BEFORE_LEAVING
        is_leaving[a] &&
 #endif
        RECORD(a, 0) != kRunning && RECORD(a, 1) != kRunning ->
-       // SealClaims.
-       is_sealed = true;
+       // MakeClosingRecord.
+       has_closing_record = true;
        k = 0;
        do
        :: k < KEYS ->
 #ifdef SEAL_ONLY_DONE
-          may_have_run[k] = RECORD(a, k) == kDone || is_forgotten[a];
+          may_have_run[k] = RECORD(a, k) == kDone || has_expired[a];
 #else
 #ifdef SEAL_WITHOUT_EPOCH
           may_have_run[k] = RECORD(a, k) != kNone && RECORD(a, k) != kRefused;
 #else
-          may_have_run[k] = is_forgotten[a] || RECORD(a, k) == kDone ||
+          may_have_run[k] = has_expired[a] || RECORD(a, k) == kDone ||
                             RECORD(a, k) == kUnknown;
 #endif
 #endif
@@ -231,7 +232,7 @@
           phase[f] = kRan;
           runs[key_of[f]]++;
           assert(runs[key_of[f]] <= 1);
-          assert(!is_told_not_run[key_of[f]])
+          assert(!was_answered_not_run[key_of[f]])
        :: else
        fi;
        f = 0 }
@@ -243,12 +244,12 @@
   do
   :: atomic { select(k : 0 .. KEYS - 1);
        if
-       :: shown[k] < SHOWS -> shown[k]++; on_the_way[k]++
-       :: on_the_way[k] > 0 -> on_the_way[k]--
-       // DecideBySeal.
-       :: is_sealed && !may_have_run[k] -> TellNotRun(k)
+       :: times_presented[k] < MAX_PRESENTED -> times_presented[k]++; in_transit[k]++
+       :: in_transit[k] > 0 -> in_transit[k]--
+       // DecideByClosingRecord.
+       :: has_closing_record && !may_have_run[k] -> AnswerNotRun(k)
 #ifdef ENTRY_GUESSES
-       :: shown[k] < SHOWS -> shown[k]++; TellNotRun(k)
+       :: times_presented[k] < MAX_PRESENTED -> times_presented[k]++; AnswerNotRun(k)
 #endif
        :: else
        fi;
--- a/Specs/MapSwitch.pml
+++ b/Specs/MapSwitch.pml
@@ -1,31 +1,32 @@
-// The switch of a group from one expert map to the next, where the ranks step
-// on their own clock. Names are those of Libraries/LibMapSwitch. Rank 0's agent
-// is the owner; rank 1's agent may stand in for it.
+// The switch of a group from one expert map to the next, where the ranks begin
+// passes without permission of the owner. Names are those of
+// Libraries/LibMapSwitch. Rank 0's agent is the owner; rank 1's agent is the
+// standby owner.
 //
-// Modelled: orders that are carried out at any later time, however late;
-// wishes and reports that are arbitrarily old; an owner that is killed at any
-// point and starts again knowing nothing; a deputy that acts beside it, woken
-// or dead, and cannot reach rank 0. Copies take no time, since only their order
-// matters. A group that is formed anew refuses all orders of before and is left
-// out. Two restarts and a third version take more states than a check should;
-// Tests/LibMapSwitch plays them by seeds.
+// Modelled: orders that are executed at any later time; desired maps and
+// reports that are arbitrarily old; an owner that is killed at any point and
+// restarts without state; a standby owner that acts beside it, whether the owner
+// is dead or running again, and cannot reach rank 0. Copies take no time, since
+// only their order matters. A re-formed group refuses all earlier orders and is
+// not modelled. Two restarts and a third version take more states than a check
+// should; Tests/LibMapSwitch covers them with random seeds.
 //
-// variant GO_BEFORE_ALL_ARMED the group is let go while a rank is not armed
+// variant GO_BEFORE_ALL_ARMED the group is released while a rank is not armed
 // variant ARM_BEFORE_HOLD ranks are armed for a pass that nothing holds
-// variant GO_ANY_HELD a holder lets go of whatever pass it holds
-// variant TRUST_UNTOLD a deputy takes rank 0 for armed without having been told
-// variant RESUME_TELLING a restarted owner names the pass before its rank is armed
-// variant TELL_BEFORE_OWN_ARM the owner names the pass before its rank is armed
+// variant GO_ANY_HELD a holder releases whatever pass it holds
+// variant TRUST_UNTOLD a standby owner infers that rank 0 is armed without having received its arm step
+// variant RESUME_TELLING a restarted owner sends the arm step before its own rank is armed
+// variant TELL_BEFORE_OWN_ARM the owner sends the arm step before its own rank is armed
 // options -DVECTORSZ=1024 -DCOLLAPSE
 
 #define RANKS 3
 #define LAST_STEP 3
 #define LAST_VERSION 2
-#define LATE 1
-#define MOST_RESTARTS 1
-#define DEPUTY 1
+#define DELAYED_ORDERS 1
+#define MAX_RESTARTS 1
+#define STANDBY 1
 
-#define NOTHING 0
+#define NO_ORDER 0
 #define PREPARE 1
 #define HOLD 2
 #define ARM 3
@@ -49,19 +50,19 @@
 #define ARMS_FIRST false
 #endif
 #ifdef TRUST_UNTOLD
-#define TRUSTS_UNTOLD true
+#define INFERS_WITHOUT_ARM_STEP true
 #else
-#define TRUSTS_UNTOLD false
+#define INFERS_WITHOUT_ARM_STEP false
 #endif
 #ifdef RESUME_TELLING
-#define RESUMES_TELLING true
+#define RESUMES_AT_ARMING true
 #else
-#define RESUMES_TELLING false
+#define RESUMES_AT_ARMING false
 #endif
 #ifdef TELL_BEFORE_OWN_ARM
-#define TELLS_FIRST true
+#define SENDS_BEFORE_OWN_ARM true
 #else
-#define TELLS_FIRST false
+#define SENDS_BEFORE_OWN_ARM false
 #endif
 
 typedef RankStatus {
@@ -73,7 +74,7 @@
   byte held
 };
 
-typedef Wish {
+typedef DesiredMap {
   byte version;
   byte hold_step;
   byte holder;
@@ -90,19 +91,19 @@
 
 typedef MapSwitch {
   byte phase;
-  Wish wish;
-  RankStatus heard[RANKS];
-  bool is_heard[RANKS];
-  byte heard_step
+  DesiredMap desired_map;
+  RankStatus statuses[RANKS];
+  bool has_status[RANKS];
+  byte received_step
 };
 
 byte step = 0;            // the last pass begun
 RankStatus ranks[RANKS];
-Wish wishes[RANKS];       // what each agent last heard
-Order late[LATE];
-Wish told;                // the wish that an agent acts on just now
+DesiredMap desired_maps[RANKS];  // the last one that each agent received
+Order delayed[DELAYED_ORDERS];
+DesiredMap current;       // the one that an agent acts on in this step
 MapSwitch owner;
-MapSwitch deputy;
+MapSwitch standby;
 byte restarts = 0;
 
 inline Copy(to, from) {
@@ -114,7 +115,7 @@
   to.held = from.held
 }
 
-inline CopyWish(to, from) {
+inline CopyDesiredMap(to, from) {
   to.version = from.version;
   to.hold_step = from.hold_step;
   to.holder = from.holder;
@@ -122,20 +123,20 @@
   to.is_released = from.is_released
 }
 
-// Values that say nothing between two steps must not tell states apart.
-inline ForgetOrder() {
+// Values that have no meaning between two steps must not distinguish states.
+inline ClearOrder() {
   rank = 0;
-  kind = NOTHING;
+  kind = NO_ORDER;
   order_version = 0;
   order_step = 0;
-  told.version = 0;
-  told.hold_step = 0;
-  told.holder = 0;
-  told.arm_step = 0;
-  told.is_released = false
+  current.version = 0;
+  current.hold_step = 0;
+  current.holder = 0;
+  current.arm_step = 0;
+  current.is_released = false
 }
 
-// A server carries an order out, or refuses it.
+// A server executes an order or refuses it.
 inline Execute(the_kind, at_rank, the_version, the_step) {
   if
   :: the_kind == PREPARE && the_version > ranks[at_rank].newest &&
@@ -154,48 +155,48 @@
   fi
 }
 
-// Sends an order: it is carried out now, or at any later time.
+// Sends an order, which is executed now or at any later time.
 inline Send(the_kind, at_rank, the_version, the_step) {
   if
-  :: the_kind == NOTHING -> skip
+  :: the_kind == NO_ORDER -> skip
   :: else ->
        if
        :: Execute(the_kind, at_rank, the_version, the_step)
-       :: late[0].kind == NOTHING ->
-            late[0].kind = the_kind;
-            late[0].rank = at_rank;
-            late[0].version = the_version;
-            late[0].step = the_step
+       :: delayed[0].kind == NO_ORDER ->
+            delayed[0].kind = the_kind;
+            delayed[0].rank = at_rank;
+            delayed[0].version = the_version;
+            delayed[0].step = the_step
        fi
   fi
 }
 
-// NextOrder: what a rank's agent does under the wish `told`, as its server
-// reports itself.
+// NextOrder: the order that a rank's agent sends for the desired map `current`
+// and its server's reported state.
 inline NextOrder(at_rank) {
-  kind = NOTHING;
-  order_version = told.version;
+  kind = NO_ORDER;
+  order_version = current.version;
   order_step = 0;
   if
-  :: told.hold_step != 0 && told.holder == at_rank && told.is_released &&
-     ranks[at_rank].held != 0 && MAY_GO(ranks[at_rank].held, told.arm_step) ->
+  :: current.hold_step != 0 && current.holder == at_rank && current.is_released &&
+     ranks[at_rank].held != 0 && MAY_GO(ranks[at_rank].held, current.arm_step) ->
        kind = GO;
        order_step = ranks[at_rank].held
-  :: told.hold_step != 0 && told.holder == at_rank && !told.is_released &&
-     ranks[at_rank].held == 0 && told.arm_step == 0 &&
+  :: current.hold_step != 0 && current.holder == at_rank && !current.is_released &&
+     ranks[at_rank].held == 0 && current.arm_step == 0 &&
      ranks[at_rank].armed == 0 &&
-     ranks[at_rank].prepared == told.version && step < told.hold_step ->
+     ranks[at_rank].prepared == current.version && step < current.hold_step ->
        kind = HOLD;
-       order_step = told.hold_step
+       order_step = current.hold_step
   :: else ->
        if
-       :: told.version != 0 && ranks[at_rank].map < told.version &&
-          told.arm_step != 0 && ranks[at_rank].prepared == told.version &&
+       :: current.version != 0 && ranks[at_rank].map < current.version &&
+          current.arm_step != 0 && ranks[at_rank].prepared == current.version &&
           ranks[at_rank].armed == 0 ->
             kind = ARM;
-            order_step = told.arm_step
-       :: told.version != 0 && ranks[at_rank].map < told.version &&
-          told.arm_step == 0 && ranks[at_rank].prepared < told.version &&
+            order_step = current.arm_step
+       :: current.version != 0 && ranks[at_rank].map < current.version &&
+          current.arm_step == 0 && ranks[at_rank].prepared < current.version &&
           ranks[at_rank].armed == 0 ->
             kind = PREPARE
        :: else -> skip
@@ -210,12 +211,12 @@
   :: i == RANKS -> break
   :: else ->
        if
-       :: map_switch.is_heard[i] && map_switch.heard[i].held != 0 ->
+       :: map_switch.has_status[i] && map_switch.statuses[i].held != 0 ->
             if
             :: holder == RANKS -> holder = i
             :: else ->
                  if
-                 :: map_switch.heard[i].held < map_switch.heard[holder].held ->
+                 :: map_switch.statuses[i].held < map_switch.statuses[holder].held ->
                       holder = i
                  :: else -> skip
                  fi
@@ -226,15 +227,15 @@
   od
 }
 
-#define ALL_HEARD(map_switch) \
-  (map_switch.is_heard[0] && map_switch.is_heard[1] && map_switch.is_heard[2])
+#define HAS_ALL_STATUSES(map_switch) \
+  (map_switch.has_status[0] && map_switch.has_status[1] && map_switch.has_status[2])
 #define SAME_PREPARED(map_switch, version) \
-  (map_switch.heard[0].prepared == version && \
-   map_switch.heard[1].prepared == version && \
-   map_switch.heard[2].prepared == version)
+  (map_switch.statuses[0].prepared == version && \
+   map_switch.statuses[1].prepared == version && \
+   map_switch.statuses[2].prepared == version)
 #define IS_ARMED(map_switch, rank) \
-  (map_switch.heard[rank].armed == map_switch.wish.version && \
-   map_switch.heard[rank].armed_step == map_switch.wish.arm_step)
+  (map_switch.statuses[rank].armed == map_switch.desired_map.version && \
+   map_switch.statuses[rank].armed_step == map_switch.desired_map.arm_step)
 #ifdef GO_BEFORE_ALL_ARMED
 #define ALL_ARMED(map_switch) \
   (IS_ARMED(map_switch, 0) && IS_ARMED(map_switch, 1))
@@ -244,38 +245,39 @@
    IS_ARMED(map_switch, 2))
 #endif
 #define NONE_ARMED(map_switch) \
-  (map_switch.heard[0].armed == 0 && map_switch.heard[1].armed == 0 && \
-   map_switch.heard[2].armed == 0)
+  (map_switch.statuses[0].armed == 0 && map_switch.statuses[1].armed == 0 && \
+   map_switch.statuses[2].armed == 0)
 
-// Resume: whoever finds a held group finishes what was begun.
-inline Resume(map_switch, is_deputy) {
+// Resume: an owner or standby owner that finds the group held continues the
+// switch.
+inline Resume(map_switch, is_standby) {
   if
-  :: holder < RANKS && ALL_HEARD(map_switch) ->
-       map_switch.wish.hold_step = map_switch.heard[holder].held;
-       map_switch.wish.arm_step = map_switch.heard[holder].held;
-       map_switch.wish.holder = holder;
-       map_switch.wish.is_released = false;
-       map_switch.wish.version = map_switch.heard[0].prepared;
+  :: holder < RANKS && HAS_ALL_STATUSES(map_switch) ->
+       map_switch.desired_map.hold_step = map_switch.statuses[holder].held;
+       map_switch.desired_map.arm_step = map_switch.statuses[holder].held;
+       map_switch.desired_map.holder = holder;
+       map_switch.desired_map.is_released = false;
+       map_switch.desired_map.version = map_switch.statuses[0].prepared;
        is_any_armed = false;
        i = 0;
        do
        :: i == RANKS -> break
        :: else ->
             if
-            :: map_switch.heard[i].armed != 0 &&
-               map_switch.heard[i].armed_step == map_switch.wish.arm_step ->
-                 map_switch.wish.version = map_switch.heard[i].armed;
+            :: map_switch.statuses[i].armed != 0 &&
+               map_switch.statuses[i].armed_step == map_switch.desired_map.arm_step ->
+                 map_switch.desired_map.version = map_switch.statuses[i].armed;
                  is_any_armed = true
             :: else -> skip
             fi;
             i++
        od;
        if
-       :: is_any_armed || (map_switch.heard[0].prepared != 0 &&
+       :: is_any_armed || (map_switch.statuses[0].prepared != 0 &&
                            SAME_PREPARED(map_switch,
-                                         map_switch.heard[0].prepared)) ->
+                                         map_switch.statuses[0].prepared)) ->
             if
-            :: is_deputy || RESUMES_TELLING -> map_switch.phase = ARMING
+            :: is_standby || RESUMES_AT_ARMING -> map_switch.phase = ARMING
             :: else -> map_switch.phase = ARMING_OWNER
             fi
        :: else -> skip
@@ -284,146 +286,147 @@
   fi
 }
 
-// Continue, beside StartSwitch where a switch may start.
-inline Continue(map_switch, is_deputy) {
+// Continue, and StartSwitch where a switch may start.
+inline Continue(map_switch, is_standby) {
   FindHolder(map_switch);
   if
   :: map_switch.phase == IDLE && holder < RANKS ->
-       Resume(map_switch, is_deputy);
+       Resume(map_switch, is_standby);
        if
-       :: !is_deputy && map_switch.phase == IDLE && ALL_HEARD(map_switch) &&
-          NONE_ARMED(map_switch) && map_switch.heard[0].newest < LAST_VERSION ->
+       :: !is_standby && map_switch.phase == IDLE && HAS_ALL_STATUSES(map_switch) &&
+          NONE_ARMED(map_switch) && map_switch.statuses[0].newest < LAST_VERSION ->
             Start(map_switch)
        :: else -> skip
        fi
-  :: map_switch.phase == IDLE && holder == RANKS && !is_deputy &&
-     ALL_HEARD(map_switch) && NONE_ARMED(map_switch) ->
+  :: map_switch.phase == IDLE && holder == RANKS && !is_standby &&
+     HAS_ALL_STATUSES(map_switch) && NONE_ARMED(map_switch) ->
        Start(map_switch)
-  :: map_switch.phase == PREPARING && ALL_HEARD(map_switch) &&
-     SAME_PREPARED(map_switch, map_switch.wish.version) ->
+  :: map_switch.phase == PREPARING && HAS_ALL_STATUSES(map_switch) &&
+     SAME_PREPARED(map_switch, map_switch.desired_map.version) ->
        map_switch.phase = HOLDING
   :: map_switch.phase == HOLDING && holder < RANKS ->
-       map_switch.wish.holder = holder;
-       map_switch.wish.hold_step = map_switch.heard[holder].held;
-       map_switch.wish.arm_step = map_switch.wish.hold_step;
+       map_switch.desired_map.holder = holder;
+       map_switch.desired_map.hold_step = map_switch.statuses[holder].held;
+       map_switch.desired_map.arm_step = map_switch.desired_map.hold_step;
        map_switch.phase = ARMING_OWNER
   :: map_switch.phase == HOLDING && holder == RANKS &&
-     map_switch.wish.hold_step <= map_switch.heard_step &&
-     map_switch.heard_step + 1 <= LAST_STEP ->
-       map_switch.wish.holder = 1;
+     map_switch.desired_map.hold_step <= map_switch.received_step &&
+     map_switch.received_step + 1 <= LAST_STEP ->
+       map_switch.desired_map.holder = 1;
        if
-       :: map_switch.heard_step + 2 <= LAST_STEP ->
-            map_switch.wish.hold_step = map_switch.heard_step + 2
+       :: map_switch.received_step + 2 <= LAST_STEP ->
+            map_switch.desired_map.hold_step = map_switch.received_step + 2
        :: else ->
-            map_switch.wish.hold_step = map_switch.heard_step + 1
+            map_switch.desired_map.hold_step = map_switch.received_step + 1
        fi;
        if
        :: ARMS_FIRST ->
-            map_switch.wish.arm_step = map_switch.wish.hold_step;
+            map_switch.desired_map.arm_step = map_switch.desired_map.hold_step;
             map_switch.phase = ARMING_OWNER
        :: else -> skip
        fi
   :: map_switch.phase == ARMING_OWNER &&
-     (IS_ARMED(map_switch, 0) || TELLS_FIRST) ->
+     (IS_ARMED(map_switch, 0) || SENDS_BEFORE_OWN_ARM) ->
        map_switch.phase = ARMING
-  :: map_switch.phase == ARMING && ALL_HEARD(map_switch) &&
+  :: map_switch.phase == ARMING && HAS_ALL_STATUSES(map_switch) &&
      ALL_ARMED(map_switch) ->
-       map_switch.wish.is_released = true;
+       map_switch.desired_map.is_released = true;
        map_switch.phase = RELEASING
   :: map_switch.phase == RELEASING && holder < RANKS &&
-     map_switch.heard[holder].held <= map_switch.wish.arm_step ->
-       map_switch.wish.holder = holder
+     map_switch.statuses[holder].held <= map_switch.desired_map.arm_step ->
+       map_switch.desired_map.holder = holder
   :: map_switch.phase == RELEASING &&
-     map_switch.heard[0].map == map_switch.wish.version &&
-     map_switch.heard[1].map == map_switch.wish.version &&
-     map_switch.heard[2].map == map_switch.wish.version ->
+     map_switch.statuses[0].map == map_switch.desired_map.version &&
+     map_switch.statuses[1].map == map_switch.desired_map.version &&
+     map_switch.statuses[2].map == map_switch.desired_map.version ->
        map_switch.phase = IDLE
   :: else -> skip
   fi
 }
 
 inline Start(map_switch) {
-  newest = map_switch.heard[0].newest;
+  newest = map_switch.statuses[0].newest;
   if
-  :: map_switch.heard[1].newest > newest -> newest = map_switch.heard[1].newest
+  :: map_switch.statuses[1].newest > newest -> newest = map_switch.statuses[1].newest
   :: else -> skip
   fi;
   if
-  :: map_switch.heard[2].newest > newest -> newest = map_switch.heard[2].newest
+  :: map_switch.statuses[2].newest > newest -> newest = map_switch.statuses[2].newest
   :: else -> skip
   fi;
   if
   :: newest < LAST_VERSION ->
-       map_switch.wish.version = newest + 1;
-       map_switch.wish.hold_step = 0;
-       map_switch.wish.holder = 0;
-       map_switch.wish.arm_step = 0;
-       map_switch.wish.is_released = false;
+       map_switch.desired_map.version = newest + 1;
+       map_switch.desired_map.hold_step = 0;
+       map_switch.desired_map.holder = 0;
+       map_switch.desired_map.arm_step = 0;
+       map_switch.desired_map.is_released = false;
        map_switch.phase = PREPARING
   :: else -> skip
   fi
 }
 
-// A wish reaches an agent; one that is older than what it knows is dropped.
-inline Tell(at_rank) {
-  arm = owner.wish.arm_step;
+// A desired map reaches an agent, which drops it if it has a newer one.
+inline SendDesiredMap(at_rank) {
+  arm = owner.desired_map.arm_step;
   if
   :: owner.phase == ARMING_OWNER && at_rank != 0 -> arm = 0
   :: else -> skip
   fi;
   if
-  :: wishes[at_rank].version > owner.wish.version ||
-     (wishes[at_rank].version == owner.wish.version &&
-      (wishes[at_rank].arm_step > arm ||
-       wishes[at_rank].hold_step > owner.wish.hold_step ||
-       (wishes[at_rank].is_released && !owner.wish.is_released))) -> skip
+  :: desired_maps[at_rank].version > owner.desired_map.version ||
+     (desired_maps[at_rank].version == owner.desired_map.version &&
+      (desired_maps[at_rank].arm_step > arm ||
+       desired_maps[at_rank].hold_step > owner.desired_map.hold_step ||
+       (desired_maps[at_rank].is_released && !owner.desired_map.is_released))) -> skip
   :: else ->
-       wishes[at_rank].version = owner.wish.version;
-       wishes[at_rank].hold_step = owner.wish.hold_step;
-       wishes[at_rank].holder = owner.wish.holder;
-       wishes[at_rank].arm_step = arm;
-       wishes[at_rank].is_released = owner.wish.is_released
+       desired_maps[at_rank].version = owner.desired_map.version;
+       desired_maps[at_rank].hold_step = owner.desired_map.hold_step;
+       desired_maps[at_rank].holder = owner.desired_map.holder;
+       desired_maps[at_rank].arm_step = arm;
+       desired_maps[at_rank].is_released = owner.desired_map.is_released
   fi;
   arm = 0
 }
 
-// TrustOwner: rank 0 cannot be reached, and its owner named the pass.
-inline TrustOwner() {
+// InferOwnerArmed: rank 0 can't be reached, but its owner sent the arm step, which
+// it does only after its own rank is armed.
+inline InferOwnerArmed() {
   if
-  :: !deputy.is_heard[0] && wishes[DEPUTY].version != 0 &&
-     (wishes[DEPUTY].arm_step != 0 || TRUSTS_UNTOLD) ->
-       deputy.heard[0].prepared = wishes[DEPUTY].version;
-       deputy.heard[0].armed = wishes[DEPUTY].version;
-       deputy.heard[0].armed_step = wishes[DEPUTY].arm_step;
+  :: !standby.has_status[0] && desired_maps[STANDBY].version != 0 &&
+     (desired_maps[STANDBY].arm_step != 0 || INFERS_WITHOUT_ARM_STEP) ->
+       standby.statuses[0].prepared = desired_maps[STANDBY].version;
+       standby.statuses[0].armed = desired_maps[STANDBY].version;
+       standby.statuses[0].armed_step = desired_maps[STANDBY].arm_step;
        if
-       :: wishes[DEPUTY].arm_step == 0 ->
-            deputy.heard[0].armed_step = wishes[DEPUTY].hold_step
+       :: desired_maps[STANDBY].arm_step == 0 ->
+            standby.statuses[0].armed_step = desired_maps[STANDBY].hold_step
        :: else -> skip
        fi;
-       deputy.is_heard[0] = true
+       standby.has_status[0] = true
   :: else -> skip
   fi
 }
 
-inline ForgetAll(map_switch) {
+inline ClearSwitch(map_switch) {
   map_switch.phase = IDLE;
-  map_switch.wish.version = 0;
-  map_switch.wish.hold_step = 0;
-  map_switch.wish.holder = 0;
-  map_switch.wish.arm_step = 0;
-  map_switch.wish.is_released = false;
-  map_switch.heard_step = 0;
+  map_switch.desired_map.version = 0;
+  map_switch.desired_map.hold_step = 0;
+  map_switch.desired_map.holder = 0;
+  map_switch.desired_map.arm_step = 0;
+  map_switch.desired_map.is_released = false;
+  map_switch.received_step = 0;
   i = 0;
   do
   :: i == RANKS -> break
   :: else ->
-       map_switch.is_heard[i] = false;
-       map_switch.heard[i].map = 0;
-       map_switch.heard[i].newest = 0;
-       map_switch.heard[i].prepared = 0;
-       map_switch.heard[i].armed = 0;
-       map_switch.heard[i].armed_step = 0;
-       map_switch.heard[i].held = 0;
+       map_switch.has_status[i] = false;
+       map_switch.statuses[i].map = 0;
+       map_switch.statuses[i].newest = 0;
+       map_switch.statuses[i].prepared = 0;
+       map_switch.statuses[i].armed = 0;
+       map_switch.statuses[i].armed_step = 0;
+       map_switch.statuses[i].held = 0;
        i++
   od;
   i = 0;
@@ -458,7 +461,7 @@
 active proctype Group() {
   byte i = 0;
   byte rank = 0;
-  byte kind = NOTHING;
+  byte kind = NO_ORDER;
   byte order_version = 0;
   byte order_step = 0;
   byte holder = 0;
@@ -467,51 +470,52 @@
   bool is_any_armed = false;
 end:
   do
-  // Time passes.
+  // A pass begins unless a rank holds the group; a delayed order is executed.
   :: atomic { step < LAST_STEP && ranks[0].held != step + 1 &&
               ranks[1].held != step + 1 && ranks[2].held != step + 1 ->
               BeginPass() }
-  :: atomic { late[0].kind != NOTHING ->
-              Execute(late[0].kind, late[0].rank, late[0].version,
-                      late[0].step);
-              late[0].kind = NOTHING; late[0].rank = 0;
-              late[0].version = 0; late[0].step = 0 }
-  // An agent acts on what it last heard; a wish comes; a report is heard.
+  :: atomic { delayed[0].kind != NO_ORDER ->
+              Execute(delayed[0].kind, delayed[0].rank, delayed[0].version,
+                      delayed[0].step);
+              delayed[0].kind = NO_ORDER; delayed[0].rank = 0;
+              delayed[0].version = 0; delayed[0].step = 0 }
+  // An agent acts on its desired map; the owner sends a desired map to an agent;
+  // the owner receives a rank's status.
   :: atomic { select(rank : 0 .. RANKS - 1);
-              CopyWish(told, wishes[rank]);
+              CopyDesiredMap(current, desired_maps[rank]);
               NextOrder(rank);
               Send(kind, rank, order_version, order_step);
-              ForgetOrder() }
+              ClearOrder() }
   :: atomic { owner.phase != IDLE -> select(rank : 0 .. RANKS - 1);
-              Tell(rank); rank = 0 }
+              SendDesiredMap(rank); rank = 0 }
   :: atomic { select(rank : 0 .. RANKS - 1);
-              Copy(owner.heard[rank], ranks[rank]);
-              owner.is_heard[rank] = true;
+              Copy(owner.statuses[rank], ranks[rank]);
+              owner.has_status[rank] = true;
               if
-              :: rank == 0 -> owner.heard_step = step
+              :: rank == 0 -> owner.received_step = step
               :: else -> skip
               fi;
               rank = 0 }
   :: atomic { Continue(owner, false); holder = 0; i = 0; newest = 0;
               is_any_armed = false }
-  :: atomic { restarts < MOST_RESTARTS -> restarts++; ForgetAll(owner);
-              wishes[0].version = 0; wishes[0].hold_step = 0;
-              wishes[0].holder = 0; wishes[0].arm_step = 0;
-              wishes[0].is_released = false }
-  // The deputy of a group that does not go on reads the other ranks and orders
-  // them.
+  :: atomic { restarts < MAX_RESTARTS -> restarts++; ClearSwitch(owner);
+              desired_maps[0].version = 0; desired_maps[0].hold_step = 0;
+              desired_maps[0].holder = 0; desired_maps[0].arm_step = 0;
+              desired_maps[0].is_released = false }
+  // While the group is held, the standby owner polls the other ranks and sends
+  // them orders.
   :: atomic { IS_STUCK -> select(rank : 1 .. RANKS - 1);
-              Copy(deputy.heard[rank], ranks[rank]);
-              deputy.is_heard[rank] = true; rank = 0 }
-  :: atomic { true -> TrustOwner(); Continue(deputy, true);
+              Copy(standby.statuses[rank], ranks[rank]);
+              standby.has_status[rank] = true; rank = 0 }
+  :: atomic { true -> InferOwnerArmed(); Continue(standby, true);
               holder = 0; i = 0; newest = 0; is_any_armed = false }
-  :: atomic { deputy.phase == ARMING || deputy.phase == RELEASING ->
+  :: atomic { standby.phase == ARMING || standby.phase == RELEASING ->
               select(rank : 1 .. RANKS - 1);
-              CopyWish(told, deputy.wish);
+              CopyDesiredMap(current, standby.desired_map);
               NextOrder(rank);
               Send(kind, rank, order_version, order_step);
-              ForgetOrder() }
-  :: atomic { deputy.is_heard[1] || deputy.is_heard[2] ->
-              ForgetAll(deputy) }
+              ClearOrder() }
+  :: atomic { standby.has_status[1] || standby.has_status[2] ->
+              ClearSwitch(standby) }
   od
 }
--- a/Specs/Spread.pml
+++ b/Specs/Spread.pml
@@ -1,12 +1,13 @@
-// How a change reaches a gateway: from the store's watch, from a whole reading,
-// or from a peer, in any order and more than once, since any of them may be
-// cut, slow or late. A gateway may be killed and begins with nothing. Guards:
-// Libraries/LibPlatform/PrefixFeed.cc and Gateway/Feeds.cc.
+// How a change reaches a gateway: from a watch of the store, from a read of the
+// whole range, or from a peer, in any order and more than once, since any of
+// them may be cut off, slow or delayed. A gateway may be killed and restarts
+// without state. The guards are in Libraries/LibPlatform/PrefixFeed.cc and
+// Services/bramleyspand/Gateway/Feeds.cc.
 //
-// One record stands for a server: written at revision 1, removed at 2. One
-// number stands for the desired state: versions 1 to 3.
+// One record stands for a server: written at revision 1, removed at revision 2.
+// One number stands for the desired state: versions 1 to 3.
 //
-// Each variant takes a guard out:
+// Each variant removes a guard:
 // variant TAKE_ANY_VERSION
 // variant FORGET_REMOVAL
 // variant SERVE_BEFORE_KNOWN
@@ -17,13 +18,13 @@
 byte stored_version = 1;
 byte stored_revision = 1;
 
-// What each gateway has in force; 0 while nothing is known.
+// The version that each gateway has in force; 0 while it knows none.
 byte version[GATEWAYS] = 0;
 // The newest revision known of the record, and whether it names a server.
 byte revision[GATEWAYS] = 0;
 bool is_usable[GATEWAYS] = false;
 
-// The highest that each gateway has had in this boot.
+// The highest version that each gateway has had since it started.
 byte highest[GATEWAYS] = 0;
 bool has_seen_removal[GATEWAYS] = false;
 bool has_refused_unknown = false;
@@ -36,14 +37,14 @@
   od
 }
 
-inline TakeVersion(gateway, heard) {
+inline ApplyVersion(gateway, received) {
   if
 #ifdef TAKE_ANY_VERSION
-  :: heard > 0 -> version[gateway] = heard
-  :: heard == 0
+  :: received > 0 -> version[gateway] = received
+  :: received == 0
 #else
-  :: heard > version[gateway] -> version[gateway] = heard
-  :: heard <= version[gateway]
+  :: received > version[gateway] -> version[gateway] = received
+  :: received <= version[gateway]
 #endif
   fi;
   if
@@ -53,49 +54,49 @@
   assert(version[gateway] >= highest[gateway])
 }
 
-inline TakeRecord(gateway, heard) {
+inline ApplyRecord(gateway, received) {
   if
-  :: heard > revision[gateway] ->
-     revision[gateway] = heard;
-     is_usable[gateway] = (heard == 1);
+  :: received > revision[gateway] ->
+     revision[gateway] = received;
+     is_usable[gateway] = (received == 1);
      if
-     :: heard == 2 ->
+     :: received == 2 ->
         has_seen_removal[gateway] = true;
 #ifdef FORGET_REMOVAL
         revision[gateway] = 0
 #endif
      :: else
      fi
-  :: heard <= revision[gateway]
+  :: received <= revision[gateway]
   fi;
   assert(!has_seen_removal[gateway] || !is_usable[gateway])
 }
 
-// News are as old as they please: any that ever was.
+// An update may be arbitrarily old: any version or revision that ever existed.
 proctype Gateway(byte self) {
-  byte heard;
+  byte received;
   byte peer = 1 - self;
   do
   :: atomic {
-       // A watch or a reading, whose answer may be late.
+       // The answer of a watch or a read, which may be outdated.
        if
-       :: heard = stored_version
-       :: stored_version > 1 -> heard = stored_version - 1
-       :: heard = 1
+       :: received = stored_version
+       :: stored_version > 1 -> received = stored_version - 1
+       :: received = 1
        fi;
-       TakeVersion(self, heard)
+       ApplyVersion(self, received)
      }
   :: atomic {
        if
-       :: heard = stored_revision
-       :: heard = 1
+       :: received = stored_revision
+       :: received = 1
        fi;
-       TakeRecord(self, heard)
+       ApplyRecord(self, received)
      }
-  // A peer's news.
-  :: atomic { heard = version[peer]; TakeVersion(self, heard) }
-  :: atomic { heard = revision[peer]; TakeRecord(self, heard) }
-  // The process is killed, and another one starts.
+  // An update from a peer.
+  :: atomic { received = version[peer]; ApplyVersion(self, received) }
+  :: atomic { received = revision[peer]; ApplyRecord(self, received) }
+  // The process is killed and restarted.
   :: atomic {
        version[self] = 0;
        revision[self] = 0;
@@ -103,7 +104,7 @@
        highest[self] = 0;
        has_seen_removal[self] = false
      }
-  // A caller asks for something that every version has.
+  // A caller requests something that every version has.
   :: atomic {
 #ifdef SERVE_BEFORE_KNOWN
        version[self] == 0 -> has_refused_unknown = true;
