--- a/Tests/Process/Calls.sh
+++ b/Tests/Process/Calls.sh
@@ -1,6 +1,8 @@
-# Calls as callers make them, for the process tests: sourced after Prelude.sh.
+# Functions that send callers' requests, for process tests; sourced after
+# Prelude.sh.
 
-# start_fleet_with_catalogue: a fleet in which the demo's catalogue is in force.
+# start_fleet_with_catalogue: starts a fleet and puts the demo's catalogue in
+# force.
 start_fleet_with_catalogue() {
   start_fleet
   apply_catalogue 0
@@ -13,7 +15,8 @@
     sed -n 's/.*"keys":\["\([^"]*\)".*/\1/p'
 }
 
-# issue ENTRY-NUMBER KEY BODY CURL-ARGUMENTS...: issues an invoice.
+# issue ENTRY-NUMBER KEY BODY CURL-ARGUMENTS...: issues an invoice, an
+# at-most-once call, with a claim key.
 issue() {
   local number=$1 key=$2 body=$3
   shift 3
@@ -33,12 +36,12 @@
   [ "$found" = "$2" ] || fail "$1 ran $found times, not $2"
 }
 
-# expect TEXT ANSWER: the answer must contain the text.
+# expect TEXT ANSWER: fails unless the answer contains the text.
 expect() {
   grep -qF "$1" <<<"$2" || fail "no $1 in: $2"
 }
 
-# chat ENTRY-NUMBER PROMPT TOKENS CURL-ARGUMENTS...: a streamed answer.
+# chat ENTRY-NUMBER PROMPT TOKENS CURL-ARGUMENTS...: prints a streamed answer.
 chat() {
   local number=$1 prompt=$2 tokens=$3
   shift 3
@@ -46,17 +49,18 @@
     -d "{\"stream\":true,\"max_tokens\":$tokens,\"messages\":[{\"role\":\"user\",\"content\":\"$prompt\"}]}"
 }
 
-# expect_whole PROMPT TOKENS ANSWER: every token once, none of another prompt's.
+# expect_whole PROMPT TOKENS ANSWER: fails unless the answer has each token of
+# the prompt once, in order, no other token, and its end.
 expect_whole() {
   local found
   found=$(grep -o '"content":"[^"]*"' <<<"$3" | tr -d '\n')
   local wanted="" n
   for ((n = 0; n < $2; n++)); do wanted+="\"content\":\"$1#$n \""; done
-  [ "$found" = "$wanted" ] || fail "the answer to $1 is not its own and whole: $3"
+  [ "$found" = "$wanted" ] || fail "the answer to $1 is incomplete or has foreign tokens: $3"
   expect '[DONE]' "$3"
 }
 
-# load FIELD: adds up a field of the four engines' load reports.
+# load FIELD: prints the sum of a field of the four engines' load reports.
 load() {
   local n field sum=0
   for n in 1 2 3 4; do
@@ -68,7 +72,7 @@
 
 signal() { kill "-$1" "${PIDS[$2]}"; }
 
-# kill_process NAME: kills it without warning and forgets it.
+# kill_process NAME: kills a process with SIGKILL and removes it from PIDS.
 kill_process() {
   local pid=${PIDS[$1]}
   unset "PIDS[$1]"
@@ -76,12 +80,15 @@
   wait "$pid" 2>/dev/null || true
 }
 
+# restart_agent REVISION: starts the agent of target-5 again and waits for its
+# links.
 restart_agent() {
   start_agent 5 st-poelten
   wait_for "the links of target-5" links_of_target_5 "$1"
 }
 
-# links_of_target_5 REVISION: whether the agent is linked to all entries.
+# links_of_target_5 REVISION: whether the agent is linked to all entries and has
+# the revision in force.
 links_of_target_5() {
   dump "$NET.2.5" |
     grep -q "\"entries_linked\":3.*\"revision\":$1"
--- a/Tests/Process/Prelude.sh
+++ b/Tests/Process/Prelude.sh
@@ -1,4 +1,4 @@
-# What every process test starts with: sourced, not run.
+# Setup of every process test; sourced, not run.
 set -euo pipefail
 cd "$(dirname "${BASH_SOURCE[0]}")/../.."
 BIN=$PWD/Build/Binaries
@@ -11,7 +11,8 @@
   control catalogue apply --base_revision="$1" Meta/demo-files/catalogue.toml
 }
 
-# ask ENTRY CURL-ARGUMENTS...: calls as the owner studio-huber.
+# ask ENTRY CURL-ARGUMENTS...: sends a request to a catalogue entry with the key
+# of the owner studio-huber.
 ask() {
   local entry=$1
   shift
@@ -19,7 +20,8 @@
     -H "Bramleyspan-Entry: $entry" "$@"
 }
 
-# dump IP: prints the whole state of the process there, as an operator.
+# dump IP: prints the whole state of the process at this IP, as an operator gets
+# it.
 dump() {
   curl -sf -m 2 -H "Authorization: Bearer $OPERATOR_KEY" "http://$1:8080/v1/operator/dump"
 }
--- a/Tests/Process/UsersPlatform.sh
+++ b/Tests/Process/UsersPlatform.sh
@@ -1,9 +1,10 @@
-# Functions for tests of gateways and ranks' agents on a stand-in of the users'
-# platform: sourced after Prelude.sh.
+# Functions for tests of gateways and rank agents with a stand-in for the users'
+# platform; sourced after Prelude.sh.
 CONTROL=http://$NET.0.20:7001
 HOST=app.test
 
-# desired_state VERSION INVOICE-SERVICE [EXTRA-ROUTE]: one as operators write it.
+# desired_state VERSION INVOICE-SERVICE [EXTRA-ROUTE]: prints the document that
+# an operator writes, with invoices routed to the service, and one more route.
 desired_state() {
   local route='{"host":"app.test","timeout_ms":5000,"max_attempts":2,"priority":1'
   local extra=""
@@ -25,17 +26,19 @@
 JSON
 }
 
-# configure VERSION INVOICE-SERVICE [EXTRA-ROUTE]: the operator changes it.
+# configure VERSION INVOICE-SERVICE [EXTRA-ROUTE]: writes this desired state to
+# the store.
 configure() { desired_state "$@" | curl -sf -X PUT "$CONTROL/config" --data-binary @- -o /dev/null; }
 set_server() { curl -sf -X PUT "$CONTROL/server?id=$1&state=$2" -o /dev/null; }
 set_store() { curl -sf -X PUT "$CONTROL/store?mode=$1" -o /dev/null; }
 platform_status() { curl -sf "$CONTROL/status"; }
 
-# runs_of ATTEMPT: how often it began to run anywhere.
+# runs_of ATTEMPT: prints how often the attempt began to run on any server;
+# nothing if never. number_of FIELD: prints a number of the platform's status.
 runs_of() { platform_status | grep -o "\"$1\":[0-9]*" | cut -d: -f2 || true; }
 number_of() { platform_status | grep -o "\"$1\":[0-9]*" | cut -d: -f2; }
 
-# GATEWAY_FLAGS holds further flags of gateways.
+# start_gateway NUMBER: starts a gateway; GATEWAY_FLAGS holds further flags.
 start_gateway() {
   # shellcheck disable=SC2086
   spawn "gateway-$1" env -u BRAMLEYSPAN_TEST_NET "$BIN/bramleyspand" --role=gateway \
@@ -54,7 +57,8 @@
 
 is_ready() { curl -sf -m 1 -o /dev/null "http://$NET.1.$1:8082/readiness"; }
 
-# RANKS in the group, 2 if not set; FAN_OUT of their agents.
+# Starts the platform, two gateways and the agents of RANKS ranks (default 2),
+# with FAN_OUT (default 12) as the fan-out of their tree.
 start_platform_and_system() {
   # shellcheck disable=SC2086
   spawn platform "$BIN/StandInUsersPlatform" --net="$NET" --ranks="${RANKS:-2}" \
@@ -66,7 +70,7 @@
   for n in 1 2; do wait_for "gateway-$n" is_ready "$n"; done
 }
 
-# request GATEWAY ATTEMPT PATH CURL-ARGUMENTS...: a caller's request.
+# request GATEWAY ATTEMPT PATH CURL-ARGUMENTS...: sends a caller's request.
 request() {
   local gateway=$1 attempt=$2 path=$3
   shift 3
@@ -76,8 +80,8 @@
 
 status_of() { request "$@" -o /dev/null -w '%{http_code}'; }
 
-# is_whole_stream FILE ATTEMPT: whether all 20 events of this attempt are there,
-# each once and in order.
+# is_whole_stream FILE ATTEMPT: whether the file has exactly the 20 events of
+# this attempt, each once and in order.
 is_whole_stream() {
   diff <(grep '^data:' "$1") <(for n in $(seq 20); do echo "data: $2#$n"; done) >/dev/null
 }
