--- a/Meta/CMake/Helpers.cmake
+++ b/Meta/CMake/Helpers.cmake
@@ -1,4 +1,4 @@
-# Adds a static library of the workspace from every source file of its folder.
+# Adds a static library from all source files of its folder.
 function(bramleyspan_library name)
   cmake_parse_arguments(ARG "" "" "LINK" ${ARGN})
   file(GLOB sources CONFIGURE_DEPENDS ${CMAKE_CURRENT_SOURCE_DIR}/*.cc)
@@ -7,7 +7,7 @@
   set_property(GLOBAL APPEND PROPERTY BRAMLEYSPAN_LIBRARIES ${name})
 endfunction()
 
-# Adds the one test program of a library, from every source file of its folder.
+# Adds the test program of a library from all source files of its folder.
 function(bramleyspan_test name)
   cmake_parse_arguments(ARG "" "" "LINK" ${ARGN})
   file(GLOB sources CONFIGURE_DEPENDS ${CMAKE_CURRENT_SOURCE_DIR}/*.cc)
--- a/Meta/fleet.sh
+++ b/Meta/fleet.sh
@@ -1,7 +1,7 @@
 # Functions that start and stop a small fleet on the loopback network. Each VM
-# has an IP number of its own in 127.0.0.0/8. Sourced by Meta/demo and by the
-# process tests; the caller sets BIN (the folder of the binaries) and LOGS.
-# BRAMLEYSPAN_TEST_NET (0 to 255) keeps fleets that run side by side apart.
+# has its own IP address in 127.0.0.0/8. Sourced by Meta/demo, the process tests
+# and measurements, which set BIN (the folder of the binaries) and LOGS.
+# BRAMLEYSPAN_TEST_NET (0 to 255) gives concurrent fleets different addresses.
 
 OPERATOR_KEY=demo-operator-key
 OPERATOR_KEY_SHA256=$(printf %s "$OPERATOR_KEY" | sha256sum | cut -d' ' -f1)
@@ -25,7 +25,8 @@
   PIDS[$name]=$!
 }
 
-# wait_for WHAT COMMAND...: repeats a command until it succeeds, 20 s at most.
+# wait_for WHAT COMMAND...: repeats a command until it succeeds, for at least
+# 20 s; then fails.
 wait_for() {
   local what=$1
   shift
@@ -33,7 +34,7 @@
     if "$@" >/dev/null 2>&1; then return 0; fi
     sleep 0.05
   done
-  fail "waited in vain for $what"
+  fail "timed out waiting for $what"
 }
 
 http_ok() { curl -sf -m 2 -o /dev/null "$1"; }
@@ -45,35 +46,38 @@
   wait_for "the VM list" http_ok "http://$VM_LIST/v1/vms"
 }
 
-# list_vm NAME IP ZONE KIND STATE: files a VM in the VM list.
+# list_vm NAME IP ZONE KIND STATE: adds or replaces a VM in the VM list.
 list_vm() {
   curl -sf -X PUT "http://$VM_LIST/v1/vms/$1" -o /dev/null \
     -d "{\"name\":\"$1\",\"ip\":\"$2\",\"zone\":\"$3\",\"kind\":\"$4\",\"state\":\"$5\"}"
 }
 
+# daemon ROLE NAME IP ZONE ARGUMENTS...: starts a bramleyspand.
 daemon() {
   local role=$1 name=$2 ip=$3 zone=$4
   shift 4
-  # The daemon refuses variables with its prefix that are no settings.
+  # The daemon refuses unknown variables with the prefix BRAMLEYSPAN_.
   spawn "$name" env -u BRAMLEYSPAN_TEST_NET "$BIN/bramleyspand" --role="$role" \
     --name="$name" --ip="$ip" --zone="$zone" --key_value_service="$KEY_VALUE" \
     --vm_list="$VM_LIST" --operator_key_sha256="$OPERATOR_KEY_SHA256" "$@"
 }
 
-# start_entry N ZONE: an entry VM's process at $NET.1.N.
+# start_entry N ZONE: starts the entry at $NET.1.N and lists its VM.
 start_entry() {
   daemon entry "entry-$1" "$NET.1.$1" "$2"
   list_vm "entry-$1" "$NET.1.$1" "$2" entry live
 }
 
-# start_agent N ZONE: the agent in the slot of the target VM at $NET.2.N.
+# start_agent N ZONE: starts the agent beside the back end of the target VM at
+# $NET.2.N, and lists the VM.
 start_agent() {
   daemon agent "target-$1" "$NET.2.$1" "$2" --target="$NET.2.$1:8000"
   list_vm "target-$1" "$NET.2.$1" "$2" target live
 }
 
 start_engine() { spawn "engine-$1" "$BIN/StandInModelEngine" --address="$NET.2.$1:8000"; }
-# SERVICE_FLAGS holds further flags of the plain service.
+# start_service N: starts the plain service at $NET.2.N; SERVICE_FLAGS holds
+# further flags.
 start_service() {
   # shellcheck disable=SC2086
   spawn "service-$1" "$BIN/StandInPlainService" --address="$NET.2.$1:8000" ${SERVICE_FLAGS:-}
@@ -92,13 +96,15 @@
   for n in 1 2 3; do wait_for "entry-$n" http_ok "http://$NET.1.$n:8080/readyz"; done
 }
 
+# control ARGUMENTS...: runs bramleyspanctl as an operator; it uses the first
+# entry that answers.
 control() {
   BRAMLEYSPAN_OPERATOR_KEY=$OPERATOR_KEY \
     BRAMLEYSPAN_ENTRIES=$NET.1.1:8080,$NET.1.2:8080,$NET.1.3:8080 \
     "$BIN/bramleyspanctl" "$@"
 }
 
-# control_at N ARGUMENTS...: as control, by entry N alone.
+# control_at N ARGUMENTS...: as control, but with entry N alone.
 control_at() {
   local n=$1
   shift
@@ -106,7 +112,7 @@
     "$BIN/bramleyspanctl" "$@"
 }
 
-# store_mode JSON: makes the key-value service fail, or serve again.
+# store_mode JSON: sets the failure mode of the key-value service.
 store_mode() { curl -sf -X PUT "http://$KEY_VALUE/control" -d "$1" -o "$LOGS/control"; }
 
 # in_force REVISION COUNT: whether every entry sees COUNT processes, itself
@@ -118,7 +124,8 @@
   done
 }
 
-# stop NAME: asks a process to stop and waits until it has; prints its status.
+# stop NAME: stops a process with SIGTERM, waits for it and returns its exit
+# status.
 stop() {
   local pid=${PIDS[$1]}
   unset "PIDS[$1]"
@@ -133,7 +140,7 @@
   PIDS=()
 }
 
-# Nothing that was started here outlives the script, whatever ends it.
+# Kills all processes; scripts run it on exit, so that none outlives them.
 kill_fleet() {
   local name
   for name in "${!PIDS[@]}"; do kill -KILL "${PIDS[$name]}" 2>/dev/null || true; done
