--- a/Measurements/EventQueue.h
+++ b/Measurements/EventQueue.h
@@ -1,4 +1,5 @@
-// Virtual time for measurements: events in the order of their due times.
+// An event queue in virtual time, for measurements. Events run in the order of
+// their due times, and of their creation if these are equal.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +24,7 @@
     this->At(this->current + delay, std::move(callback));
   }
 
-  // Runs the events that are due before `end`.
+  // Runs the events that are due before `end`, and sets the time to `end`.
   void RunUntil(TimePoint end) {
     while (!this->events.empty() && this->events.top().due < end) {
       Event event = this->events.top();
--- a/Measurements/FakeTarget.h
+++ b/Measurements/FakeTarget.h
@@ -1,7 +1,6 @@
-// A fake of a target VM for measurements in virtual time: the agent's own
-// admission in front of a queue with a service time, an engine's prefix cache
-// and a way to fail. It is no simulator of a cluster: it knows no network, no
-// steps and no experts.
+// A fake target VM for measurements in virtual time: the agent's admission code
+// in front of an engine with random service times, a prefix cache and faults.
+// It models no network, no steps and no experts.
 #pragma once
 
 #include <functional>
@@ -17,20 +16,21 @@
 enum class Fault {
   kNone,
   // The engine takes ten times as long.
-  kLimps,
-  // The engine does nothing; the agent answers.
+  kSlow,
+  // The engine is frozen; the agent answers.
   kEngineFrozen,
-  // Neither engine nor agent does anything.
+  // Both engine and agent are frozen.
   kVmFrozen,
-  // The agent is gone with everything it had.
+  // The agent is dead and its requests are lost.
   kDead,
-  // The agent promises 0, admits everything and limps.
-  kLies,
-  // The agent promises less than 0, admits everything and limps.
-  kPromisesNegative,
+  // The agent estimates 0 until the first token and admits everything, and the
+  // engine takes ten times as long.
+  kEstimatesZero,
+  // As kEstimatesZero, but the agent's estimate is negative.
+  kEstimatesNegative,
 };
 
-// What the fake engine needs.
+// Service times and cache size of the fake engine.
 struct EngineModel {
   Duration mean_service = std::chrono::seconds(1);
   Duration prefill_floor = std::chrono::milliseconds(20);
@@ -44,7 +44,7 @@
   using OnFirstToken = std::function<void()>;
   using OnRefused = std::function<void(Duration retry_after)>;
 
-  // How a request ends for its caller.
+  // Callbacks of a request.
   struct Caller {
     OnFirstToken on_first_token;
     OnRefused on_refused;
@@ -53,7 +53,7 @@
   FakeTarget(EventQueue& events, const EngineModel& engine, uint64_t seed)
       : events(events), engine(engine), random(seed) {
     this->cache.capacity = engine.cached_prefixes;
-    this->ReviewForever();
+    this->ReviewRepeatedly();
   }
 
   admission::Admission admission;
@@ -64,16 +64,16 @@
     return this->fault != Fault::kVmFrozen && this->fault != Fault::kDead;
   }
 
-  bool is_lying() const {
-    return this->fault == Fault::kLies ||
-           this->fault == Fault::kPromisesNegative;
+  bool is_underestimating() const {
+    return this->fault == Fault::kEstimatesZero ||
+           this->fault == Fault::kEstimatesNegative;
   }
 
   admission::Estimate Probe(const admission::Request& request) const {
     auto estimate =
         admission::EstimateFor(this->admission, request, this->events.now());
-    if (this->is_lying()) {
-      estimate.first_token = this->fault == Fault::kLies
+    if (this->is_underestimating()) {
+      estimate.first_token = this->fault == Fault::kEstimatesZero
                                  ? Duration::zero()
                                  : -Duration(std::chrono::hours(1));
       estimate.in_flight = 0;
@@ -81,7 +81,7 @@
     return estimate;
   }
 
-  void Take(const admission::Request& request, Caller caller) {
+  void HandleRequest(const admission::Request& request, Caller caller) {
     if (this->fault == Fault::kDead) {
       return;
     }
@@ -102,14 +102,14 @@
     }
   }
 
-  // The caller left.
+  // The caller disconnected.
   void Cancel(uint64_t id) {
     if (!this->is_answering_probes() || this->callers.erase(id) == 0) {
       return;
     }
     this->requests.erase(id);
     if (!admission::Withdraw(this->admission, id)) {
-      this->Obey(
+      this->ApplyEffects(
           admission::HandleEnd(this->admission, id, false, this->events.now()));
     }
   }
@@ -123,16 +123,16 @@
       fresh.settings = this->admission.settings;
       this->admission = fresh;
     }
-    if (this->is_lying()) {
+    if (this->is_underestimating()) {
       this->admission.settings.admitted_share = 1e6;
     }
     if (before == Fault::kVmFrozen) {
       for (auto& [request, caller] : std::exchange(this->unread, {})) {
-        this->Take(request, std::move(caller));
+        this->HandleRequest(request, std::move(caller));
       }
     }
     if (before == Fault::kVmFrozen || before == Fault::kEngineFrozen) {
-      for (auto& callback : std::exchange(this->held, {})) {
+      for (auto& callback : std::exchange(this->deferred, {})) {
         callback();
       }
     }
@@ -144,11 +144,11 @@
            this->fault == Fault::kVmFrozen;
   }
 
-  // Does `work` after `delay`, or when the engine thaws.
+  // Runs `work` after `delay`, or once the engine is no longer frozen.
   void EngineAfter(Duration delay, std::function<void()> work) {
     this->events.After(delay, [this, work = std::move(work)] {
       if (this->is_engine_frozen()) {
-        this->held.push_back(work);
+        this->deferred.push_back(work);
       } else {
         work();
       }
@@ -164,7 +164,8 @@
     admission::Remember(this->cache, request.prefix,
                         std::min(request.prompt_tokens,
                                  this->admission.settings.prefix_tokens));
-    const bool is_slow = this->fault == Fault::kLimps || this->is_lying();
+    const bool is_slow =
+        this->fault == Fault::kSlow || this->is_underestimating();
     const double pace = is_slow ? 10 : 1;
     const auto uncached = static_cast<double>(
         request.prompt_tokens > cached ? request.prompt_tokens - cached : 0);
@@ -174,11 +175,11 @@
     std::exponential_distribution<double> service(
         1 / (pace * static_cast<double>(this->engine.mean_service.count())));
     const Duration rest(static_cast<int64_t>(service(this->random)));
-    this->EngineAfter(prefill, [this, id] { this->GiveFirstToken(id); });
+    this->EngineAfter(prefill, [this, id] { this->SendFirstToken(id); });
     this->EngineAfter(prefill + rest, [this, id] { this->End(id); });
   }
 
-  void GiveFirstToken(uint64_t id) {
+  void SendFirstToken(uint64_t id) {
     const auto caller = this->callers.find(id);
     if (caller != this->callers.end()) {
       admission::HandleProgress(this->admission, id, this->events.now());
@@ -189,12 +190,12 @@
   void End(uint64_t id) {
     if (this->callers.erase(id) > 0) {
       this->requests.erase(id);
-      this->Obey(
+      this->ApplyEffects(
           admission::HandleEnd(this->admission, id, true, this->events.now()));
     }
   }
 
-  void Obey(const admission::Effects& effects) {
+  void ApplyEffects(const admission::Effects& effects) {
     for (const uint64_t id : effects.start) {
       this->Run(id);
     }
@@ -206,12 +207,13 @@
     }
   }
 
-  void ReviewForever() {
+  void ReviewRepeatedly() {
     this->events.After(admission::kReviewInterval, [this] {
       if (this->is_answering_probes()) {
-        this->Obey(admission::Review(this->admission, this->events.now()));
+        this->ApplyEffects(
+            admission::Review(this->admission, this->events.now()));
       }
-      this->ReviewForever();
+      this->ReviewRepeatedly();
     });
   }
 
@@ -223,7 +225,7 @@
   std::map<uint64_t, Caller> callers;
   std::map<uint64_t, admission::Request> requests;
   std::vector<std::pair<admission::Request, Caller>> unread;
-  std::vector<std::function<void()>> held;
+  std::vector<std::function<void()>> deferred;
 };
 
 }  // namespace bramleyspan::measurements
--- a/Measurements/MeasureClaims.cc
+++ b/Measurements/MeasureClaims.cc
@@ -1,8 +1,8 @@
-// Ways to run a call at most once, in virtual time over a mix of failures: what
-// each costs in writes to the key-value service and in round trips before the
-// call, and how many callers end with "not run" and with "unknown" for each
-// failure. The claim per agent is the daemon's own code (LibClaims, LibCalls);
-// the other ways are the smallest models that still run nothing twice.
+// Compares schemes that run a call at most once, in virtual time under several
+// failures: writes to the key-value service and round trips before the call,
+// and how many callers end with "not run" and with "unknown" for each failure.
+// The claim per agent runs the daemon's code (LibClaims, LibCalls); the other
+// schemes are minimal models that still run nothing twice.
 
 #include <array>
 #include <cstdio>
@@ -26,7 +26,7 @@
 
 enum class Scheme {
   kAgent,
-  kAgentNoAttach,
+  kAgentNoWaiters,
   kAgentNoSeal,
   kWritePerCall,
   kEntryBatch,
@@ -34,7 +34,7 @@
 };
 constexpr std::array<std::pair<Scheme, const char*>, 6> kSchemes{{
     {Scheme::kAgent, "claim per agent"},
-    {Scheme::kAgentNoAttach, "  without attaching"},
+    {Scheme::kAgentNoWaiters, "  without attaching"},
     {Scheme::kAgentNoSeal, "  without the seal"},
     {Scheme::kWritePerCall, "write per call"},
     {Scheme::kEntryBatch, "batch per entry"},
@@ -64,9 +64,9 @@
 constexpr TimePoint kFailureAt{seconds(20)};
 constexpr TimePoint kCallsEnd{seconds(60)};
 constexpr Duration kDeadline = seconds(2);
-constexpr int kMostAsks = 4;
+constexpr int kMaxAttempts = 4;
 
-// What an agent or an owner of claims answers.
+// The answer of an agent or of the process that owns a call's claim.
 struct Reply {
   calls::Verdict verdict = calls::Verdict::kUnknown;
   bool is_final = false;
@@ -86,7 +86,7 @@
   uint64_t whole = 0;
   uint64_t not_run = 0;
   uint64_t unknown = 0;
-  uint64_t doubles = 0;
+  uint64_t duplicate_runs = 0;
 };
 
 struct Call {
@@ -96,7 +96,7 @@
   size_t entry = 0;
   size_t owner_entry = 0;
   uint64_t generation = 0;
-  int asks = 0;
+  int attempts = 0;
   bool is_ended = false;
 };
 using CallPointer = std::shared_ptr<Call>;
@@ -114,7 +114,8 @@
   uint64_t generation = 1;
   bool is_outage = false;
   claims::SealBook seals;
-  // The other ways: what is written down of each call, and where it runs.
+  // For the other schemes: whether each call is recorded as done, and the agent
+  // that runs it.
   std::map<uint64_t, bool> is_done;
   std::map<uint64_t, size_t> running_at;
   std::map<uint64_t, int> runs;
@@ -130,7 +131,7 @@
   Duration ServiceTime() { return milliseconds(50 + this->Below(400)); }
   bool is_claim_per_agent() const {
     return this->scheme == Scheme::kAgent ||
-           this->scheme == Scheme::kAgentNoAttach ||
+           this->scheme == Scheme::kAgentNoWaiters ||
            this->scheme == Scheme::kAgentNoSeal;
   }
 };
@@ -144,20 +145,21 @@
   agent.calls.claims.started = simulation.now;
 }
 
-void Perform(Simulation& simulation,
-             size_t index,
-             const calls::Effects& effects,
-             uint64_t number);
+void ApplyEffects(Simulation& simulation,
+                  size_t index,
+                  const calls::Effects& effects,
+                  uint64_t number);
 
-// The service behind an agent runs what it was sent, whatever becomes of the
-// agent; only a living agent of the same incarnation hears of the end.
+// Forwards a call to the service behind an agent. The service runs it whether
+// or not the agent survives; only a live agent of the same incarnation receives
+// the answer.
 void StartForward(Simulation& simulation,
                   size_t index,
                   uint64_t forward,
                   uint64_t number) {
   const uint64_t incarnation =
       simulation.agents[index].calls.claims.incarnation;
-  simulation.totals.doubles += ++simulation.runs[number] > 1 ? 1 : 0;
+  simulation.totals.duplicate_runs += ++simulation.runs[number] > 1 ? 1 : 0;
   simulation.After(simulation.ServiceTime(), [&simulation, index, forward,
                                               number, incarnation] {
     Agent& agent = simulation.agents[index];
@@ -165,23 +167,23 @@
     if (!agent.is_alive || !is_same) {
       return;
     }
-    const Duration sleep =
+    const Duration frozen_time =
         std::max(Duration(0), agent.frozen_until - simulation.now);
-    simulation.After(sleep, [&simulation, index, forward, number] {
+    simulation.After(frozen_time, [&simulation, index, forward, number] {
       Agent& awake = simulation.agents[index];
       calls::ReceiveHead(awake.calls, forward, {.status = 200}, simulation.now);
-      Perform(simulation, index,
-              calls::ReceiveEnd(awake.calls, forward,
-                                calls::BackEndOutcome::kComplete, ""),
-              number);
+      ApplyEffects(simulation, index,
+                   calls::ReceiveEnd(awake.calls, forward,
+                                     calls::BackEndOutcome::kComplete, ""),
+                   number);
     });
   });
 }
 
-void Perform(Simulation& simulation,
-             size_t index,
-             const calls::Effects& effects,
-             uint64_t number) {
+void ApplyEffects(Simulation& simulation,
+                  size_t index,
+                  const calls::Effects& effects,
+                  uint64_t number) {
   for (const calls::Effect& effect : effects) {
     if (const auto* start = std::get_if<calls::StartForward>(&effect)) {
       StartForward(simulation, index, start->forward, number);
@@ -199,9 +201,9 @@
   }
 }
 
-void AskAgent(Simulation& simulation,
-              const CallPointer& call,
-              std::function<void(Reply)> reply) {
+void CallAgent(Simulation& simulation,
+               const CallPointer& call,
+               std::function<void(Reply)> reply) {
   const auto key = claims::ParseClaimKey(call->key);
   const auto sealed = claims::DecideBySeal(simulation.seals, key.value());
   if (sealed != claims::SealDecision::kNotSealed) {
@@ -216,30 +218,31 @@
     return;
   }
   const bool is_running = agent.calls.forward_of_claim.contains(call->key);
-  if (is_running && simulation.scheme == Scheme::kAgentNoAttach) {
+  if (is_running && simulation.scheme == Scheme::kAgentNoWaiters) {
     reply({calls::Verdict::kUnknown, false});
     return;
   }
   const uint64_t recipient = ++simulation.last_recipient;
   agent.callers.emplace(recipient, std::move(reply));
-  Perform(simulation, call->agent,
-          calls::ReceiveCall(agent.calls,
-                             {.from = {call->entry, recipient},
-                              .claim = call->key,
-                              .owner = "o",
-                              .entry = "e",
-                              .needs_claim = true,
-                              .remaining = kDeadline},
-                             simulation.now),
-          call->number);
+  ApplyEffects(simulation, call->agent,
+               calls::ReceiveCall(agent.calls,
+                                  {.from = {call->entry, recipient},
+                                   .claim = call->key,
+                                   .owner = "o",
+                                   .entry = "e",
+                                   .needs_claim = true,
+                                   .remaining = kDeadline},
+                                  simulation.now),
+               call->number);
 }
 
-// The other ways run a call on an agent that keeps nothing; `on_done` is heard
-// only if the agent and the entry that waits live that long.
-void RunElsewhere(Simulation& simulation,
-                  const CallPointer& call,
-                  std::function<void()> on_done) {
-  simulation.totals.doubles += ++simulation.runs[call->number] > 1 ? 1 : 0;
+// Runs a call on an agent that keeps no record of it, for the other schemes.
+// `on_done` runs only if the agent lives until the end of the call.
+void RunWithoutRegistry(Simulation& simulation,
+                        const CallPointer& call,
+                        std::function<void()> on_done) {
+  simulation.totals.duplicate_runs +=
+      ++simulation.runs[call->number] > 1 ? 1 : 0;
   const uint64_t incarnation =
       simulation.agents[call->agent].calls.claims.incarnation;
   simulation.After(simulation.ServiceTime(), [&simulation, call, incarnation,
@@ -253,7 +256,7 @@
   });
 }
 
-size_t LivingAgent(Simulation& simulation) {
+size_t PickLiveAgent(Simulation& simulation) {
   size_t index = simulation.Below(kAgents);
   while (!simulation.agents[index].is_alive ||
          simulation.agents[index].calls.is_leaving) {
@@ -262,11 +265,11 @@
   return index;
 }
 
-void AskWriter(Simulation& simulation,
-               const CallPointer& call,
-               const std::function<void(Reply)>& reply) {
+void CallWithWrite(Simulation& simulation,
+                   const CallPointer& call,
+                   const std::function<void(Reply)>& reply) {
   if (simulation.is_outage) {
-    // Nothing was written by this attempt, but an earlier one may have.
+    // This attempt wrote nothing, but an earlier one may have.
     const bool is_first = !simulation.running_at.contains(call->number);
     reply({is_first ? calls::Verdict::kNotRun : calls::Verdict::kUnknown,
            is_first});
@@ -279,10 +282,10 @@
     return;
   }
   ++simulation.totals.writes;
-  call->agent = LivingAgent(simulation);
+  call->agent = PickLiveAgent(simulation);
   const size_t entry = call->entry;
   simulation.running_at[call->number] = call->agent;
-  RunElsewhere(simulation, call, [&simulation, call, entry, reply] {
+  RunWithoutRegistry(simulation, call, [&simulation, call, entry, reply] {
     if (!simulation.is_entry_alive[entry]) {
       return;
     }
@@ -294,9 +297,9 @@
   });
 }
 
-void AskOwnerEntry(Simulation& simulation,
-                   const CallPointer& call,
-                   const std::function<void(Reply)>& reply) {
+void CallOwnerEntry(Simulation& simulation,
+                    const CallPointer& call,
+                    const std::function<void(Reply)>& reply) {
   if (!simulation.is_entry_alive[call->owner_entry]) {
     reply({calls::Verdict::kUnknown, true});
     return;
@@ -307,9 +310,9 @@
         {is_done ? calls::Verdict::kWhole : calls::Verdict::kUnknown, is_done});
     return;
   }
-  call->agent = LivingAgent(simulation);
+  call->agent = PickLiveAgent(simulation);
   simulation.running_at[call->number] = call->agent;
-  RunElsewhere(simulation, call, [&simulation, call, reply] {
+  RunWithoutRegistry(simulation, call, [&simulation, call, reply] {
     if (simulation.is_entry_alive[call->owner_entry]) {
       simulation.is_done[call->number] = true;
       reply({calls::Verdict::kWhole, true});
@@ -317,18 +320,19 @@
   });
 }
 
-// A key of the caller's choice belongs to the agent that hashing names among
-// the members of now; of another generation nobody knows where it was shown.
-void AskRendezvous(Simulation& simulation,
-                   const CallPointer& call,
-                   const std::function<void(Reply)>& reply) {
-  if (call->asks > 1 && call->generation != simulation.generation) {
+// The caller chooses its key, which belongs to an agent chosen by hashing among
+// the present members. Once the membership has changed, it is unknown which
+// agent received the key before.
+void CallRendezvous(Simulation& simulation,
+                    const CallPointer& call,
+                    const std::function<void(Reply)>& reply) {
+  if (call->attempts > 1 && call->generation != simulation.generation) {
     reply({calls::Verdict::kUnknown, true});
     return;
   }
-  if (call->asks == 1) {
+  if (call->attempts == 1) {
     call->generation = simulation.generation;
-    call->agent = LivingAgent(simulation);
+    call->agent = PickLiveAgent(simulation);
   }
   if (!simulation.agents[call->agent].is_alive) {
     reply({calls::Verdict::kUnknown, false});
@@ -341,7 +345,7 @@
     return;
   }
   simulation.running_at[call->number] = call->agent;
-  RunElsewhere(simulation, call, [&simulation, call, reply] {
+  RunWithoutRegistry(simulation, call, [&simulation, call, reply] {
     simulation.is_done[call->number] = true;
     reply({calls::Verdict::kWhole, true});
   });
@@ -358,64 +362,64 @@
   totals.unknown += reply.verdict == calls::Verdict::kUnknown ? 1 : 0;
 }
 
-// One attempt by a living entry; the caller asks again a second later, or at
-// once when its entry breaks the connection.
-void Ask(Simulation& simulation, const CallPointer& call) {
+// Starts an attempt through a live entry. The caller retries 1 s after an
+// answer that is not final, or when the deadline has passed without an answer.
+void StartAttempt(Simulation& simulation, const CallPointer& call) {
   if (call->is_ended) {
     return;
   }
-  if (call->asks == kMostAsks) {
+  if (call->attempts == kMaxAttempts) {
     End(simulation, call, {});
     return;
   }
-  const int attempt = ++call->asks;
+  const int attempt = ++call->attempts;
   do {
     call->entry = simulation.Below(kEntries);
   } while (!simulation.is_entry_alive[call->entry]);
-  const auto again = [&simulation, call, attempt] {
-    if (call->asks == attempt) {
-      Ask(simulation, call);
+  const auto retry = [&simulation, call, attempt] {
+    if (call->attempts == attempt) {
+      StartAttempt(simulation, call);
     }
   };
   const size_t entry = call->entry;
-  const auto reply = [&simulation, call, entry, again](Reply given) {
+  const auto reply = [&simulation, call, entry, retry](Reply answer) {
     if (!simulation.is_entry_alive[entry]) {
       return;
     }
-    if (given.is_final || given.verdict == calls::Verdict::kWhole) {
-      End(simulation, call, given);
+    if (answer.is_final || answer.verdict == calls::Verdict::kWhole) {
+      End(simulation, call, answer);
     } else {
-      simulation.After(seconds(1), again);
+      simulation.After(seconds(1), retry);
     }
   };
-  simulation.After(kDeadline + milliseconds(200), again);
+  simulation.After(kDeadline + milliseconds(200), retry);
   simulation.After(simulation.Hop(), [&simulation, call, entry, reply] {
     if (!simulation.is_entry_alive[entry]) {
       return;
     }
     if (simulation.is_claim_per_agent()) {
-      const Duration sleep =
+      const Duration frozen_time =
           std::max(Duration(0), simulation.agents[call->agent].frozen_until -
                                     simulation.now);
-      simulation.After(sleep, [&simulation, call, reply] {
-        AskAgent(simulation, call, reply);
+      simulation.After(frozen_time, [&simulation, call, reply] {
+        CallAgent(simulation, call, reply);
       });
     } else if (simulation.scheme == Scheme::kWritePerCall) {
-      AskWriter(simulation, call, reply);
+      CallWithWrite(simulation, call, reply);
     } else if (simulation.scheme == Scheme::kEntryBatch) {
-      AskOwnerEntry(simulation, call, reply);
+      CallOwnerEntry(simulation, call, reply);
     } else {
-      AskRendezvous(simulation, call, reply);
+      CallRendezvous(simulation, call, reply);
     }
   });
 }
 
-// A caller takes its key up to five seconds before it uses it.
+// Starts a call, whose caller gets its key up to 5 s before it uses it.
 void StartCall(Simulation& simulation, uint64_t number) {
   auto call = std::make_shared<Call>();
   call->number = number;
   if (simulation.is_claim_per_agent()) {
-    call->agent = LivingAgent(simulation);
+    call->agent = PickLiveAgent(simulation);
     ++simulation.totals.extra_trips;
     call->key =
         claims::IssueClaim(simulation.agents[call->agent].calls.claims, "o",
@@ -432,10 +436,10 @@
     ++simulation.totals.extra_trips;
   }
   simulation.After(milliseconds(simulation.Below(5000)),
-                   [&simulation, call] { Ask(simulation, call); });
+                   [&simulation, call] { StartAttempt(simulation, call); });
 }
 
-void StopInAPlannedWay(Simulation& simulation, size_t index) {
+void StopGracefully(Simulation& simulation, size_t index) {
   simulation.agents[index].calls.is_leaving = true;
   ++simulation.generation;
   simulation.After(seconds(2), [&simulation, index] {
@@ -452,7 +456,7 @@
   });
 }
 
-void Fail(Simulation& simulation) {
+void InjectFailure(Simulation& simulation) {
   switch (simulation.failure) {
     case Failure::kNone:
       return;
@@ -471,7 +475,7 @@
       simulation.agents[0].frozen_until = simulation.now + seconds(5);
       return;
     case Failure::kAgentStopped:
-      StopInAPlannedWay(simulation, 0);
+      StopGracefully(simulation, 0);
       return;
     case Failure::kOutage:
       simulation.is_outage = true;
@@ -495,7 +499,7 @@
     });
   }
   simulation.After(kFailureAt - TimePoint{},
-                   [&simulation] { Fail(simulation); });
+                   [&simulation] { InjectFailure(simulation); });
   while (!simulation.events.empty()) {
     auto event = simulation.events.extract(simulation.events.begin());
     simulation.now = event.key().first;
@@ -517,7 +521,7 @@
     sum.extra_trips += totals.extra_trips;
     sum.not_run += totals.not_run;
     sum.unknown += totals.unknown;
-    sum.doubles += totals.doubles;
+    sum.duplicate_runs += totals.duplicate_runs;
   }
   const auto per_call = [&](uint64_t count) {
     return static_cast<double>(count) / static_cast<double>(sum.calls);
@@ -529,7 +533,7 @@
               scheme_name, failure_name, per_call(sum.writes),
               per_call(sum.extra_trips), per_failure(sum.not_run),
               per_failure(sum.unknown),
-              static_cast<unsigned long long>(sum.doubles));
+              static_cast<unsigned long long>(sum.duplicate_runs));
 }
 
 }  // namespace
--- a/Measurements/MeasureCopies.cc
+++ b/Measurements/MeasureCopies.cc
@@ -1,5 +1,6 @@
-// The skew that is left after each switch of a map since demand jumped, and
-// how long a plan takes, by ranks and by copies a rank.
+// Measures the skew that remains after each map switch that follows a demand
+// shift, and the time to plan a switch, for several group sizes and copies per
+// rank.
 #include <algorithm>
 #include <chrono>
 #include <cmath>
@@ -15,7 +16,7 @@
 
 namespace {
 
-constexpr int kJumps = 10;
+constexpr int kShifts = 10;
 constexpr int kSwitches = 4;
 constexpr int kTopics = 2;
 
@@ -30,7 +31,8 @@
   uint32_t copies_per_rank = 1;
 };
 
-// Shares by Zipf's law, the experts in another order for each topic.
+// Returns the mean of Zipf shares over the topics, each with its own random
+// order of the experts.
 Shares MixOfTopics(const Shape& shape, std::mt19937_64& random) {
   Shares shares(shape.experts, 0);
   std::vector<double> parts;
@@ -49,7 +51,7 @@
   return shares;
 }
 
-SetLists InTurn(const Shape& shape) {
+SetLists RoundRobinLists(const Shape& shape) {
   SetLists lists(shape.sets, RankLists(shape.ranks));
   for (RankLists& set : lists) {
     for (uint16_t expert = 0; expert < shape.experts; ++expert) {
@@ -62,10 +64,10 @@
 void Measure(const Shape& shape) {
   constexpr uint64_t kSeed = 1;
   std::mt19937_64 random(kSeed);
-  SetLists lists = InTurn(shape);
+  SetLists lists = RoundRobinLists(shape);
   std::vector<double> skews(kSwitches, 0);
   std::chrono::duration<double, std::milli> longest{};
-  for (int jump = 0; jump < kJumps; ++jump) {
+  for (int shift = 0; shift < kShifts; ++shift) {
     Drift demand;
     for (uint32_t set = 0; set < shape.sets; ++set) {
       demand.present.push_back(MixOfTopics(shape, random));
@@ -80,7 +82,7 @@
       longest = std::max<decltype(longest)>(
           longest, std::chrono::steady_clock::now() - began);
       lists = std::move(plan.lists);
-      skew += plan.skew_after / kJumps;
+      skew += plan.skew_after / kShifts;
     }
   }
   std::printf("| %u | %u | %u | %u | %.2f | %u |", shape.ranks, shape.sets,
--- a/Measurements/MeasureLimits.cc
+++ b/Measurements/MeasureLimits.cc
@@ -1,5 +1,5 @@
-// Limits per owner in virtual time: the keepers' and the entries' very
-// functions, with asks that take a millisecond there and back.
+// Measures the limits per owner in virtual time: runs the code of allocators
+// and entries, with grant requests whose round trip takes 1 ms.
 
 #include <cstdio>
 #include <random>
@@ -17,12 +17,12 @@
 using std::chrono::seconds;
 
 constexpr Duration kOneWay = std::chrono::microseconds(500);
-constexpr Duration kNoticed = seconds(1);
-constexpr Duration kLength = seconds(60);
-constexpr Duration kStrike = seconds(20);
-constexpr Duration kMend = seconds(40);
+constexpr Duration kNoticeTime = seconds(1);
+constexpr Duration kRunTime = seconds(60);
+constexpr Duration kTroubleBegin = seconds(20);
+constexpr Duration kTroubleEnd = seconds(40);
 
-enum class Trouble { kNone, kKeeperDies, kRolling, kParted };
+enum class Trouble { kNone, kKeeperDies, kRolling, kPartitioned };
 
 struct Run {
   const char* name;
@@ -40,18 +40,18 @@
   explicit Bench(const Run& run) : run(run), nodes(run.entries) {
     for (size_t i = 0; i < run.entries; ++i) {
       this->nodes[i].name = "entry-" + std::to_string(i);
-      this->nodes[i].seen.insert(i);
+      this->nodes[i].reachable.insert(i);
     }
-    this->counts.resize(kLength / kSlice);
+    this->counts.resize(kRunTime / kSlice);
   }
 
   void Measure() {
     for (size_t i = 0; i < this->run.entries; ++i) {
       this->UpdateView(i);
     }
-    this->Arrive();
+    this->ScheduleArrivals();
     this->Trouble();
-    this->events.RunUntil(TimePoint{} + kLength);
+    this->events.RunUntil(TimePoint{} + kRunTime);
     this->Print();
   }
 
@@ -61,9 +61,9 @@
   struct Node {
     std::string name;
     bool is_alive = true;
-    bool is_cut = false;
-    // The entries that this one believes to reach.
-    std::set<size_t> seen;
+    bool is_partitioned = false;
+    // The entries that this one can reach in its view.
+    std::set<size_t> reachable;
     limits::Share share;
     limits::Keeper keeper;
     size_t pending = 0;
@@ -71,23 +71,23 @@
 
   bool CanReach(size_t from, size_t to) const {
     return this->nodes[to].is_alive &&
-           this->nodes[from].is_cut == this->nodes[to].is_cut;
+           this->nodes[from].is_partitioned == this->nodes[to].is_partitioned;
   }
 
   void UpdateView(size_t index) {
     Node& node = this->nodes[index];
-    node.seen.clear();
+    node.reachable.clear();
     for (size_t other = 0; other < this->run.entries; ++other) {
       if (this->CanReach(index, other)) {
-        node.seen.insert(other);
+        node.reachable.insert(other);
       }
     }
   }
 
   void UpdateViewsLater() {
     for (size_t i = 0; i < this->run.entries; ++i) {
-      // Entries notice at different times, the last after a second.
-      const Duration delay = kNoticed * static_cast<int64_t>(i + 1) /
+      // Entries notice a change at different times, the last after 1 s.
+      const Duration delay = kNoticeTime * static_cast<int64_t>(i + 1) /
                              static_cast<int64_t>(this->run.entries);
       this->events.After(delay, [this, i] { this->UpdateView(i); });
     }
@@ -96,7 +96,7 @@
   size_t KeeperFor(size_t index) const {
     std::vector<std::string> names;
     std::vector<size_t> indices;
-    for (const size_t other : this->nodes[index].seen) {
+    for (const size_t other : this->nodes[index].reachable) {
       names.push_back(this->nodes[other].name);
       indices.push_back(other);
     }
@@ -118,7 +118,7 @@
   }
 
   void Trouble() {
-    const TimePoint begin = TimePoint{} + kStrike;
+    const TimePoint begin = TimePoint{} + kTroubleBegin;
     switch (this->run.trouble) {
       case Trouble::kNone:
         return;
@@ -131,31 +131,32 @@
                           [this, i] { this->Replace(i); });
         }
         return;
-      case Trouble::kParted:
-        this->events.At(begin, [this] { this->CutZone(true); });
-        this->events.At(TimePoint{} + kMend, [this] { this->CutZone(false); });
+      case Trouble::kPartitioned:
+        this->events.At(begin, [this] { this->SetPartition(true); });
+        this->events.At(TimePoint{} + kTroubleEnd,
+                        [this] { this->SetPartition(false); });
         return;
     }
   }
 
-  void CutZone(bool is_cut) {
+  void SetPartition(bool is_partitioned) {
     for (size_t i = 0; i < this->run.entries / 3; ++i) {
-      this->nodes[i].is_cut = is_cut;
+      this->nodes[i].is_partitioned = is_partitioned;
     }
     this->UpdateViewsLater();
   }
 
-  void Arrive() {
+  void ScheduleArrivals() {
     std::exponential_distribution<double> gap(this->run.limit * this->run.load);
     const Duration wait(static_cast<int64_t>(1e6 * gap(this->random)));
     this->events.After(wait, [this] {
-      // A caller whose entry died goes to the next one that it was named.
+      // A caller whose entry is dead uses the next one.
       size_t index = this->random() % this->run.used;
       while (!this->nodes[index].is_alive) {
         index = (index + 1) % this->run.entries;
       }
       this->Request(index, false);
-      this->Arrive();
+      this->ScheduleArrivals();
     });
   }
 
@@ -172,11 +173,11 @@
       this->Admit();
     } else if (decision.admittance == limits::Admittance::kAsk && !is_second) {
       ++node.pending;
-      this->Ask(index);
+      this->RequestGrant(index);
     }
   }
 
-  // What waited for the reply gets its decision.
+  // Decides the requests that waited for the reply.
   void Release(size_t index) {
     const size_t pending = std::exchange(this->nodes[index].pending, 0);
     for (size_t i = 0; i < pending; ++i) {
@@ -184,19 +185,19 @@
     }
   }
 
-  void Ask(size_t index) {
+  void RequestGrant(size_t index) {
     Node& node = this->nodes[index];
     if (node.share.is_asking) {
       return;
     }
-    ++this->asks;
+    ++this->grant_requests;
     const TimePoint now = this->events.now();
     const double wanted = limits::StartAsk(node.share, this->settings, 1, now);
     const uint64_t number = node.share.ask;
     const size_t keeper = this->KeeperFor(index);
     const std::string name = node.name;
     this->events.After(kOneWay, [this, index, keeper, wanted, number, name] {
-      this->AnswerAsk(index, keeper, wanted, number, name);
+      this->AnswerGrantRequest(index, keeper, wanted, number, name);
     });
     this->events.After(this->settings.ask_timeout, [this, index, number] {
       limits::Share& share = this->nodes[index].share;
@@ -208,19 +209,20 @@
     });
   }
 
-  void AnswerAsk(size_t index,
-                 size_t keeper_index,
-                 double wanted,
-                 uint64_t number,
-                 const std::string& name) {
+  void AnswerGrantRequest(size_t index,
+                          size_t keeper_index,
+                          double wanted,
+                          uint64_t number,
+                          const std::string& name) {
     if (!this->CanReach(index, keeper_index)) {
       return;
     }
     Node& node = this->nodes[keeper_index];
     limits::SetLimit(node.keeper, this->settings, this->run.limit,
-                     node.seen.size(), this->run.entries, this->events.now());
+                     node.reachable.size(), this->run.entries,
+                     this->events.now());
     const double granted = limits::HandleAsk(
-        node.keeper, wanted, std::min(this->run.used, node.seen.size()),
+        node.keeper, wanted, std::min(this->run.used, node.reachable.size()),
         this->events.now());
     const Duration retry_after = limits::RetryAfterOf(node.keeper);
     this->events.After(
@@ -234,38 +236,40 @@
         });
   }
 
-  // Extremes of what was admitted in `window`, as shares of what was due.
+  // Returns the smallest and the largest number of requests admitted in any
+  // window of this length: the smallest as a share of the offered load up to
+  // the limit, the largest as a share of the limit.
   std::pair<double, double> Extremes(Duration window) const {
     const auto slices = static_cast<size_t>(window / kSlice);
     const double due = this->run.limit * std::min(1.0, this->run.load) *
                        std::chrono::duration<double>(window).count();
-    const double most_due =
+    const double max_due =
         this->run.limit * std::chrono::duration<double>(window).count();
-    double least = 1e9;
-    double most = 0;
-    // After a second of start.
+    double min_share = 1e9;
+    double max_share = 0;
+    // Skips the first 2 s, the start.
     for (size_t i = seconds(2) / kSlice; i + slices <= this->counts.size();
          ++i) {
       double sum = 0;
       for (size_t k = 0; k < slices; ++k) {
         sum += this->counts[i + k];
       }
-      least = std::min(least, sum / due);
-      most = std::max(most, sum / most_due);
+      min_share = std::min(min_share, sum / due);
+      max_share = std::max(max_share, sum / max_due);
     }
-    return {least, most};
+    return {min_share, max_share};
   }
 
   void Print() const {
-    const auto [least_1, most_1] = this->Extremes(seconds(1));
-    const auto [least_10, most_10] = this->Extremes(seconds(10));
+    const auto [min_share_1, max_share_1] = this->Extremes(seconds(1));
+    const auto [min_share_10, max_share_10] = this->Extremes(seconds(10));
     std::printf(
         "| %s | %zu | %zu | %.0f | %.1fx | %.2f / %.2f | %.2f / %.2f | %.0f "
         "|\n",
         this->run.name, this->run.entries, this->run.used, this->run.limit,
-        this->run.load, least_1, most_1, least_10, most_10,
-        static_cast<double>(this->asks) /
-            std::chrono::duration<double>(kLength).count());
+        this->run.load, min_share_1, max_share_1, min_share_10, max_share_10,
+        static_cast<double>(this->grant_requests) /
+            std::chrono::duration<double>(kRunTime).count());
   }
 
   Run run;
@@ -274,7 +278,7 @@
   std::mt19937_64 random{1};
   std::vector<Node> nodes;
   std::vector<uint32_t> counts;
-  uint64_t asks = 0;
+  uint64_t grant_requests = 0;
 };
 
 void MeasureAll() {
@@ -290,16 +294,16 @@
       {"keeper dies", 9, 1, 90, 3, Trouble::kKeeperDies},
       {"keeper dies", 9, 9, 90, 3, Trouble::kKeeperDies},
       {"all entries replaced, one in 2 s", 9, 9, 90, 3, Trouble::kRolling},
-      {"a third parted 20 s", 9, 1, 90, 3, Trouble::kParted},
-      {"a third parted 20 s", 9, 9, 90, 3, Trouble::kParted},
+      {"a third parted 20 s", 9, 1, 90, 3, Trouble::kPartitioned},
+      {"a third parted 20 s", 9, 9, 90, 3, Trouble::kPartitioned},
       {"steady", 340, 1, 300, 3},
       {"steady", 340, 8, 300, 3},
       {"steady", 340, 340, 300, 3},
       {"steady, small owner", 340, 8, 3, 3},
       {"keeper dies", 340, 8, 300, 3, Trouble::kKeeperDies},
       {"nine entries replaced, one in 2 s", 340, 8, 300, 3, Trouble::kRolling},
-      {"a third parted 20 s", 340, 8, 300, 3, Trouble::kParted},
-      {"a third parted 20 s", 340, 340, 300, 3, Trouble::kParted},
+      {"a third parted 20 s", 340, 8, 300, 3, Trouble::kPartitioned},
+      {"a third parted 20 s", 340, 340, 300, 3, Trouble::kPartitioned},
   };
   for (const Run& run : runs) {
     Bench(run).Measure();
--- a/Measurements/MeasurePlacement.cc
+++ b/Measurements/MeasurePlacement.cc
@@ -1,5 +1,5 @@
-// Placement of experts under synthetic drift: how much the slowest rank lags
-// and what moving experts costs, for several policies, with fixed seeds.
+// Measures placement policies under synthetic drift of expert popularity, with
+// fixed seeds: the skew of the slowest rank and the cost of moving experts.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -32,41 +32,41 @@
 using std::chrono::seconds;
 
 constexpr uint32_t kExperts = 64;
-// Layers that are simulated of a model with sixty; all figures are per layer.
+// Simulated layers of a model with 60; all figures are per layer.
 constexpr uint32_t kLayers = 3;
 constexpr uint64_t kExpertBytes = 44'000'000;
 constexpr size_t kLoadsPerHour = size_t{64} * kLayers;
-// A layer's part of a weight store that gives a group 1.2 GB/s.
+// A layer's share of a weight store that serves a group at 1.2 GB/s.
 constexpr uint64_t kStoreBytesPerSecond = 20'000'000;
 constexpr Duration kTick = seconds(10);
 constexpr Duration kDecisionInterval = minutes(1);
-constexpr Duration kLength = hours(6);
+constexpr Duration kRunTime = hours(6);
 constexpr Duration kUndoWindow = hours(1);
 // Steps that a group loses in a switch of its map, and for each copy that a
-// rank takes in while it goes on stepping.
+// rank loads while it keeps stepping.
 constexpr double kStalledStepsOfSwitch = 2;
 constexpr double kStalledStepsOfLoad = 0.2;
 
-enum class Drift { kSlow, kSwap, kSurge, kNoise };
+enum class DriftKind { kSlow, kSwap, kSurge, kNoise };
 
-constexpr Drift kDrifts[] = {Drift::kSlow, Drift::kSwap, Drift::kSurge,
-                             Drift::kNoise};
+constexpr DriftKind kDrifts[] = {DriftKind::kSlow, DriftKind::kSwap,
+                                 DriftKind::kSurge, DriftKind::kNoise};
 
-const char* NameOf(Drift drift) {
+const char* NameOf(DriftKind drift) {
   switch (drift) {
-    case Drift::kSlow:
+    case DriftKind::kSlow:
       return "slow drift";
-    case Drift::kSwap:
+    case DriftKind::kSwap:
       return "sudden swap";
-    case Drift::kSurge:
+    case DriftKind::kSurge:
       return "night before term";
-    case Drift::kNoise:
+    case DriftKind::kNoise:
       return "noise, no drift";
   }
   return "";
 }
 
-double HoursOf(Duration duration) {
+double ToHours(Duration duration) {
   return std::chrono::duration<double, std::ratio<3600>>(duration).count();
 }
 
@@ -95,50 +95,53 @@
   return blended;
 }
 
-// How far popularity has gone over to the other topic at a time.
-double BlendAt(Drift drift, Duration at) {
-  const double hour = HoursOf(at);
+// Returns the part of the popularity, 0 to 1, that has moved to the other topic
+// at a time.
+double BlendAt(DriftKind drift, Duration at) {
+  const double hour = ToHours(at);
   switch (drift) {
-    case Drift::kSlow:
-      return hour / HoursOf(kLength);
-    case Drift::kSwap:
+    case DriftKind::kSlow:
+      return hour / ToHours(kRunTime);
+    case DriftKind::kSwap:
       return hour < 2 ? 0 : 1;
-    case Drift::kSurge: {
-      // Up within twenty minutes, two hours of crowd, down again.
+    case DriftKind::kSurge: {
+      // Rises within 20 minutes, stays for two hours, and falls in 20 minutes.
       const double up = std::clamp((hour - 2) * 3, 0.0, 1.0);
       const double down = std::clamp((hour - 4.33) * 3, 0.0, 1.0);
       return 0.7 * (up - down);
     }
-    case Drift::kNoise:
+    case DriftKind::kNoise:
       return 0;
   }
   return 0;
 }
 
-// The true shares of a layer at each tick. They waver around the drift, each
-// expert for itself, with a correlation time of two minutes.
-std::vector<Shares> MakeTruth(Drift drift, uint64_t seed) {
-  constexpr double kWaver = 0.15;
-  const double keep = std::exp(-HoursOf(kTick) / HoursOf(minutes(2)));
+// Returns the true shares of a layer at each tick: the drift, with independent
+// noise for each expert whose correlation time is two minutes.
+std::vector<Shares> MakeTrueShares(DriftKind drift, uint64_t seed) {
+  constexpr double kDeviation = 0.15;
+  const double correlation = std::exp(-ToHours(kTick) / ToHours(minutes(2)));
   std::mt19937_64 random(seed);
   std::normal_distribution<double> normal;
   const Shares before = ZipfShares(random);
   const Shares after = ZipfShares(random);
-  std::vector<double> waver(kExperts, 0.0);
-  std::vector<Shares> truth;
-  for (Duration at{}; at < kLength; at += kTick) {
+  std::vector<double> deviation(kExperts, 0.0);
+  std::vector<Shares> true_shares;
+  for (Duration at{}; at < kRunTime; at += kTick) {
     Shares shares = Blend(before, after, BlendAt(drift, at));
     for (uint32_t expert = 0; expert < kExperts; ++expert) {
-      waver[expert] = waver[expert] * keep +
-                      kWaver * std::sqrt(1 - keep * keep) * normal(random);
-      shares[expert] *= std::exp(waver[expert]);
+      deviation[expert] = deviation[expert] * correlation +
+                          kDeviation *
+                              std::sqrt(1 - correlation * correlation) *
+                              normal(random);
+      shares[expert] *= std::exp(deviation[expert]);
     }
-    truth.push_back(Normalize(shares));
+    true_shares.push_back(Normalize(shares));
   }
-  return truth;
+  return true_shares;
 }
 
-// A multinomial sample by a chain of binomials.
+// Draws a multinomial sample by a chain of binomials.
 std::vector<uint32_t> SampleStep(const Shares& shares,
                                  uint32_t tokens,
                                  std::mt19937_64& random) {
@@ -154,50 +157,53 @@
   return counts;
 }
 
-Shares MeanShares(const std::vector<Shares>& truth, size_t from, size_t to) {
+Shares MeanShares(const std::vector<Shares>& true_shares,
+                  size_t from,
+                  size_t to) {
   Shares mean(kExperts, 0.0);
-  for (size_t tick = from; tick < std::min(to, truth.size()); ++tick) {
+  for (size_t tick = from; tick < std::min(to, true_shares.size()); ++tick) {
     for (uint32_t expert = 0; expert < kExperts; ++expert) {
-      mean[expert] += truth[tick][expert];
+      mean[expert] += true_shares[tick][expert];
     }
   }
   return Normalize(mean);
 }
 
-struct World {
-  Drift drift = Drift::kSlow;
+struct Workload {
+  DriftKind drift = DriftKind::kSlow;
   Shape shape;
   uint32_t tokens = 0;
-  std::vector<std::vector<Shares>> truth;
+  std::vector<std::vector<Shares>> true_shares;
 
   Shares SharesAt(uint32_t layer, size_t tick) const {
-    return this->truth[layer][tick];
+    return this->true_shares[layer][tick];
   }
 };
 
-World MakeWorld(Drift drift, Shape shape, uint32_t tokens) {
-  World world{.drift = drift, .shape = shape, .tokens = tokens, .truth = {}};
+Workload MakeWorkload(DriftKind drift, Shape shape, uint32_t tokens) {
+  Workload workload{
+      .drift = drift, .shape = shape, .tokens = tokens, .true_shares = {}};
   for (uint64_t layer = 0; layer < kLayers; ++layer) {
-    world.truth.push_back(MakeTruth(drift, 100 + layer));
+    workload.true_shares.push_back(MakeTrueShares(drift, 100 + layer));
   }
-  return world;
+  return workload;
 }
 
-RebalanceSettings SettingsFor(const World& world, double skew_weight) {
+RebalanceSettings SettingsFor(const Workload& workload, double skew_weight) {
   RebalanceSettings settings;
-  settings.shape = world.shape;
+  settings.shape = workload.shape;
   settings.expert_bytes = kExpertBytes;
   settings.skew_weight = skew_weight;
-  settings.tokens_per_step = world.tokens;
+  settings.tokens_per_step = workload.tokens;
   settings.loads_per_hour = kLoadsPerHour;
   return settings;
 }
 
-// What a policy does at each decision: a placement to switch to, or none.
-struct Decider {
+// A policy. At each decision it returns a placement to switch to, or none.
+struct Policy {
   std::string name;
   std::function<
-      std::optional<Plan>(Rebalancer&, const World&, size_t, TimePoint)>
+      std::optional<Plan>(Rebalancer&, const Workload&, size_t, TimePoint)>
       decide;
   double skew_weight = 0.5;
 };
@@ -212,7 +218,8 @@
   double stalled_steps = 0;
 };
 
-// Finds copies that came and went again, or went and came again, in an hour.
+// Counts copies that were added and removed again, or removed and added again,
+// within an hour.
 struct UndoCounter {
   std::map<std::tuple<uint32_t, uint32_t, uint32_t, bool>, TimePoint> changes;
   uint32_t undone = 0;
@@ -242,33 +249,36 @@
   return values[index];
 }
 
-// The skew of one sampled step: over the layers, the slowest ranks' loads over
-// the mean loads, as all layers of a step follow each other.
+// Returns the skew of one sampled step: the load of each layer's slowest rank
+// over the mean load, averaged over the layers, since a step runs them one
+// after the other.
 double SkewOfStep(const Rebalancer& rebalancer,
-                  const World& world,
+                  const Workload& workload,
                   const std::vector<std::vector<uint32_t>>& counts) {
   double slowest = 0;
   for (uint32_t layer = 0; layer < kLayers; ++layer) {
     Shares shares(counts[layer].begin(), counts[layer].end());
     const auto loads = RankLoads(rebalancer.in_force.layers[layer],
-                                 Normalize(shares), world.shape.ranks);
+                                 Normalize(shares), workload.shape.ranks);
     slowest += *std::max_element(loads.begin(), loads.end());
   }
   return slowest / kLayers;
 }
 
-Placement PackFor(const World& world, const std::vector<Shares>& shares) {
+Placement PackFor(const Workload& workload, const std::vector<Shares>& shares) {
   Placement packed;
   for (const Shares& one : shares) {
-    packed.layers.push_back(PackLayer(one, world.shape));
+    packed.layers.push_back(PackLayer(one, workload.shape));
   }
   return packed;
 }
 
-std::vector<Shares> TrueShares(const World& world, size_t from, size_t to) {
+std::vector<Shares> TrueShares(const Workload& workload,
+                               size_t from,
+                               size_t to) {
   std::vector<Shares> shares;
   for (uint32_t layer = 0; layer < kLayers; ++layer) {
-    shares.push_back(MeanShares(world.truth[layer], from, to));
+    shares.push_back(MeanShares(workload.true_shares[layer], from, to));
   }
   return shares;
 }
@@ -281,46 +291,46 @@
   return shares;
 }
 
-Figures Run(const World& world, const Decider& decider) {
+Figures Run(const Workload& workload, const Policy& policy) {
   std::mt19937_64 random(42);
-  const size_t ticks = world.truth[0].size();
+  const size_t ticks = workload.true_shares[0].size();
   const size_t first_hour = hours(1) / kTick;
   // Every policy starts from the best placement for the first hour.
   Rebalancer rebalancer =
-      StartRebalancer(SettingsFor(world, decider.skew_weight),
-                      PackFor(world, TrueShares(world, 0, first_hour)))
+      StartRebalancer(SettingsFor(workload, policy.skew_weight),
+                      PackFor(workload, TrueShares(workload, 0, first_hour)))
           .value();
-  std::optional<Plan> underway;
+  std::optional<Plan> pending;
   TimePoint ready_at;
   Figures figures;
   UndoCounter undo;
   std::vector<double> skews;
   for (size_t tick = 0; tick < ticks; ++tick) {
     const TimePoint now(hours(1) + tick * kTick);
-    if (underway && now >= ready_at) {
-      undo.Count(rebalancer.in_force, underway->placement, true, now);
-      undo.Count(underway->placement, rebalancer.in_force, false, now);
-      HandleSwitched(rebalancer, *underway, now);
-      underway.reset();
+    if (pending && now >= ready_at) {
+      undo.Count(rebalancer.in_force, pending->placement, true, now);
+      undo.Count(pending->placement, rebalancer.in_force, false, now);
+      HandleSwitched(rebalancer, *pending, now);
+      pending.reset();
       figures.stalled_steps += kStalledStepsOfSwitch;
     }
     std::vector<std::vector<uint32_t>> counts;
     for (uint32_t layer = 0; layer < kLayers; ++layer) {
       counts.push_back(
-          SampleStep(world.SharesAt(layer, tick), world.tokens, random));
+          SampleStep(workload.SharesAt(layer, tick), workload.tokens, random));
       ObserveLayer(rebalancer, layer, counts.back(), now);
     }
-    skews.push_back(SkewOfStep(rebalancer, world, counts));
-    if (underway || (tick * kTick) % kDecisionInterval != Duration{}) {
+    skews.push_back(SkewOfStep(rebalancer, workload, counts));
+    if (pending || (tick * kTick) % kDecisionInterval != Duration{}) {
       continue;
     }
-    underway = decider.decide(rebalancer, world, tick, now);
-    if (underway) {
-      const uint64_t bytes = underway->loads.size() * kExpertBytes;
+    pending = policy.decide(rebalancer, workload, tick, now);
+    if (pending) {
+      const uint64_t bytes = pending->loads.size() * kExpertBytes;
       ready_at = now + seconds(bytes / (kStoreBytesPerSecond * kLayers) + 1);
-      figures.loads += static_cast<uint32_t>(underway->loads.size());
+      figures.loads += static_cast<uint32_t>(pending->loads.size());
       figures.stalled_steps +=
-          kStalledStepsOfLoad * static_cast<double>(underway->loads.size());
+          kStalledStepsOfLoad * static_cast<double>(pending->loads.size());
     }
   }
   figures.mean = std::accumulate(skews.begin(), skews.end(), 0.0) /
@@ -342,80 +352,82 @@
   return plan;
 }
 
-Decider Never() {
-  return {"never", [](Rebalancer&, const World&, size_t, TimePoint) {
+Policy Never() {
+  return {"never", [](Rebalancer&, const Workload&, size_t, TimePoint) {
             return std::optional<Plan>();
           }};
 }
 
-Decider AlwaysFresh() {
-  return {"always, packed afresh",
-          [](Rebalancer& rebalancer, const World& world, size_t, TimePoint) {
-            return PlanFor(rebalancer,
-                           PackFor(world, EstimatedShares(rebalancer)));
-          }};
+Policy AlwaysRepack() {
+  return {
+      "always, packed afresh",
+      [](Rebalancer& rebalancer, const Workload& workload, size_t, TimePoint) {
+        return PlanFor(rebalancer,
+                       PackFor(workload, EstimatedShares(rebalancer)));
+      }};
 }
 
-// Improves all layers without a price, by at most `most_loads` each.
+// Improves all layers at no cost, by at most `max_loads` loads each.
 std::optional<Plan> ImproveAll(const Rebalancer& rebalancer,
-                               const World& world,
+                               const Workload& workload,
                                const std::vector<Shares>& shares) {
   Placement placement = rebalancer.in_force;
   for (uint32_t layer = 0; layer < kLayers; ++layer) {
     LayerPlacement& one = placement.layers[layer];
     for (const auto& change :
-         ImproveLayer(one, shares[layer], world.shape, {})) {
+         ImproveLayer(one, shares[layer], workload.shape, {})) {
       Apply(one, change);
     }
   }
   return PlanFor(rebalancer, std::move(placement));
 }
 
-Decider AlwaysIncremental() {
-  return {"always, few changes",
-          [](Rebalancer& rebalancer, const World& world, size_t, TimePoint) {
-            return (ImproveAll(rebalancer, world, EstimatedShares(rebalancer)));
-          }};
+Policy AlwaysIncremental() {
+  return {
+      "always, few changes",
+      [](Rebalancer& rebalancer, const Workload& workload, size_t, TimePoint) {
+        return (ImproveAll(rebalancer, workload, EstimatedShares(rebalancer)));
+      }};
 }
 
-Decider Threshold(double threshold) {
+Policy Threshold(double threshold) {
   char name[64];
   std::snprintf(name, sizeof name, "threshold %.2f, packed afresh", threshold);
-  return {name, [threshold](Rebalancer& rebalancer, const World& world, size_t,
-                            TimePoint) {
+  return {name, [threshold](Rebalancer& rebalancer, const Workload& workload,
+                            size_t, TimePoint) {
             const std::vector<Shares> shares = EstimatedShares(rebalancer);
             double slowest = 0;
             for (uint32_t layer = 0; layer < kLayers; ++layer) {
               const auto loads = RankLoads(rebalancer.in_force.layers[layer],
-                                           shares[layer], world.shape.ranks);
+                                           shares[layer], workload.shape.ranks);
               slowest += *std::max_element(loads.begin(), loads.end());
             }
             if (slowest / kLayers < threshold) {
               return std::optional<Plan>();
             }
-            return PlanFor(rebalancer, PackFor(world, shares));
+            return PlanFor(rebalancer, PackFor(workload, shares));
           }};
 }
 
-Decider Weighted(double skew_weight) {
+Policy Weighted(double skew_weight) {
   char name[32];
   std::snprintf(name, sizeof name, "skew_weight %.2f", skew_weight);
   return {name,
-          [](Rebalancer& rebalancer, const World&, size_t, TimePoint now) {
+          [](Rebalancer& rebalancer, const Workload&, size_t, TimePoint now) {
             return ProposePlan(rebalancer, now).plan;
           },
           skew_weight};
 }
 
-// Knows the true popularity of the next hour instead of an estimate and pays
-// the prices of a skew_weight.
-Decider OracleOfTheHour(double skew_weight) {
+// Uses the true popularity of the next hour instead of an estimate, with the
+// costs of a skew_weight.
+Policy HourOracle(double skew_weight) {
   return {"oracle, next hour, 0.80",
-          [](Rebalancer& rebalancer, const World& world, size_t tick,
+          [](Rebalancer& rebalancer, const Workload& workload, size_t tick,
              TimePoint now) {
             constexpr double kCertain = 1e12;
             const auto shares =
-                TrueShares(world, tick, tick + hours(1) / kTick);
+                TrueShares(workload, tick, tick + hours(1) / kTick);
             for (uint32_t layer = 0; layer < kLayers; ++layer) {
               auto& popularity = rebalancer.popularity[layer];
               popularity.tokens = shares[layer];
@@ -427,15 +439,16 @@
           skew_weight};
 }
 
-// Knows the next minutes and moves at no price: the least skew there is.
-Decider OracleOfTheMinute() {
-  return {
-      "oracle, next 5 min, free",
-      [](Rebalancer& rebalancer, const World& world, size_t tick, TimePoint) {
-        return std::optional(
-            ImproveAll(rebalancer, world,
-                       TrueShares(world, tick, tick + minutes(5) / kTick)));
-      }};
+// Uses the true popularity of the next 5 minutes and moves experts at no cost:
+// a lower bound of the skew.
+Policy MinutesOracle() {
+  return {"oracle, next 5 min, free",
+          [](Rebalancer& rebalancer, const Workload& workload, size_t tick,
+             TimePoint) {
+            return std::optional(ImproveAll(
+                rebalancer, workload,
+                TrueShares(workload, tick, tick + minutes(5) / kTick)));
+          }};
 }
 
 void PrintSpareSlots() {
@@ -468,35 +481,36 @@
               figures.loads, figures.undone, figures.stalled_steps);
 }
 
-void PrintHead() {
+void PrintHeader() {
   std::printf("%-30s %6s %6s %6s %8s %6s %6s %8s\n", "policy", "mean", "p50",
               "p99", "GB/layer", "loads", "undone", "stalled");
 }
 
-void PrintPolicies(const World& world) {
-  const std::vector<double> even(world.shape.ranks, 1.0);
+void PrintPolicies(const Workload& workload) {
+  const std::vector<double> even(workload.shape.ranks, 1.0);
   std::printf("\n%s, %u ranks with %u slots, %u tokens a step; floor %.3f\n",
-              NameOf(world.drift), world.shape.ranks,
-              world.shape.slots_per_rank, world.tokens,
-              ExpectedSkew(even, world.tokens));
-  PrintHead();
-  for (const Decider& decider : {Never(), AlwaysFresh(), AlwaysIncremental(),
-                                 Threshold(1.2), Weighted(0.2), Weighted(0.8),
-                                 OracleOfTheHour(0.8), OracleOfTheMinute()}) {
-    PrintRow(decider.name, Run(world, decider));
+              NameOf(workload.drift), workload.shape.ranks,
+              workload.shape.slots_per_rank, workload.tokens,
+              ExpectedSkew(even, workload.tokens));
+  PrintHeader();
+  for (const Policy& policy :
+       {Never(), AlwaysRepack(), AlwaysIncremental(), Threshold(1.2),
+        Weighted(0.2), Weighted(0.8), HourOracle(0.8), MinutesOracle()}) {
+    PrintRow(policy.name, Run(workload, policy));
   }
 }
 
-// One block per drift, for gnuplot: weight, mean skew, p99, gigabytes.
+// Prints one block per drift for gnuplot, with the columns weight, mean skew,
+// p99, gigabytes, undone copies and stalled steps.
 void PrintCurve(Shape shape, uint32_t tokens) {
   std::printf("\nTrade-off curve, %u ranks with %u slots, %u tokens a step\n",
               shape.ranks, shape.slots_per_rank, tokens);
-  for (const Drift drift : kDrifts) {
-    const World world = MakeWorld(drift, shape, tokens);
+  for (const DriftKind drift : kDrifts) {
+    const Workload workload = MakeWorkload(drift, shape, tokens);
     std::printf("# curve: %s\n", NameOf(drift));
     for (const double weight : {0.0, 0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6,
                                 0.7, 0.8, 0.9, 0.95, 0.99, 1.0}) {
-      const Figures figures = Run(world, Weighted(weight));
+      const Figures figures = Run(workload, Weighted(weight));
       std::printf("%.2f %.4f %.4f %.3f %u %.1f\n", weight, figures.mean,
                   figures.high, figures.gigabytes, figures.undone,
                   figures.stalled_steps);
@@ -509,8 +523,8 @@
   PrintSpareSlots();
   for (const Shape shape : {Shape{16, 6}, Shape{32, 3}}) {
     for (const uint32_t tokens : {2048U, 16384U}) {
-      for (const Drift drift : kDrifts) {
-        PrintPolicies(MakeWorld(drift, shape, tokens));
+      for (const DriftKind drift : kDrifts) {
+        PrintPolicies(MakeWorkload(drift, shape, tokens));
       }
     }
   }
--- a/Measurements/MeasureRouting.cc
+++ b/Measurements/MeasureRouting.cc
@@ -1,5 +1,5 @@
-// Routing and admission in virtual time: the entry's and the agent's very
-// functions against fake targets.
+// Measures routing and admission in virtual time: runs the code of entries and
+// agents against fake targets.
 
 #include <cstdio>
 #include <memory>
@@ -22,11 +22,11 @@
 // Every prompt begins with a prefix that others may share.
 constexpr uint32_t kPrefixTokens = 512;
 constexpr size_t kOwners = 10;
+// By service class, as kClassNames.
 constexpr Duration kDeadlines[] = {seconds(2), seconds(4), seconds(20)};
 constexpr const char* kClassNames[] = {"interactive", "standard", "batch"};
 
-// The sizes that a measurement runs at. A caller's deadline is 2 s if it is
-// interactive, 4 s if standard, 20 s if batch.
+// A size of the fleet.
 struct Size {
   const char* name;
   size_t entries;
@@ -37,25 +37,27 @@
 };
 
 // 16 servers make 4 groups of 4 ranks.
-constexpr Size kToday{"today", 6, 4, 16, seconds(1), 1};
+constexpr Size kSmallSize{"today", 6, 4, 16, seconds(1), 1};
 // One model of five: 30 groups, 860 requests/s, 230 tokens of 28 ms each.
-constexpr Size kAhead{"ahead", 340, 30, 208, milliseconds(6440), 5};
+constexpr Size kLargeSize{"ahead", 340, 30, 208, milliseconds(6440), 5};
 
 // One run.
 struct Run {
-  Size size = kToday;
+  Size size = kSmallSize;
   std::string policy = "probes";
   // Offered load as a share of what all slots can do.
   double load = 0.9;
   Duration length = seconds(60);
   bool has_admission = true;
-  // Prompts share one of so many prefixes, by Zipf's law; 0 for none.
+  // Number of prefixes, from which each prompt draws one by Zipf's law; 0 for
+  // no shared prefixes.
   size_t prefixes = 0;
-  // `fault` strikes the first `faulty` targets from `begin` on.
+  // The first `faulty` targets have `fault` from the end of the warm-up on, for
+  // `fault_length`.
   Fault fault = Fault::kNone;
   size_t faulty = 1;
   Duration fault_length = seconds(1000);
-  bool has_trust = true;
+  bool has_estimate_check = true;
   bool has_ejection = true;
 };
 
@@ -104,7 +106,7 @@
     this->routers.resize(run.size.entries);
     for (routing::Router& router : this->routers) {
       router.turn = this->random();
-      if (!run.has_trust) {
+      if (!run.has_estimate_check) {
         router.settings.noise = std::chrono::hours(1000);
       }
       if (!run.has_ejection) {
@@ -114,8 +116,8 @@
   }
 
   Outcome Measure() {
-    this->ReportForever();
-    this->Arrive();
+    this->ReportRepeatedly();
+    this->ScheduleArrivals();
     const TimePoint begin = TimePoint{} + kWarmUp;
     this->events.RunUntil(begin);
     this->is_counting = true;
@@ -124,7 +126,7 @@
                     [this] { this->SetFault(Fault::kNone); });
     this->events.RunUntil(begin + this->run.length);
     this->is_counting = false;
-    // What was offered last still gets its answer.
+    // Requests that were offered last still get their answers.
     this->events.RunUntil(begin + this->run.length + seconds(25));
     this->outcome.imbalance = this->imbalance / this->imbalance_samples;
     uint64_t started = 0;
@@ -159,7 +161,7 @@
     }
   }
 
-  void ReportForever() {
+  void ReportRepeatedly() {
     double most = 0;
     double sum = 0;
     for (size_t i = 0; i < this->targets.size(); ++i) {
@@ -174,23 +176,23 @@
       this->imbalance += most * static_cast<double>(this->all.size()) / sum;
       ++this->imbalance_samples;
     }
-    this->events.After(kReportInterval, [this] { this->ReportForever(); });
+    this->events.After(kReportInterval, [this] { this->ReportRepeatedly(); });
   }
 
   double Rate() const {
     const double service =
         std::chrono::duration<double>(this->run.size.mean_service).count();
-    // A slot is held for the mean prefill, too: 20 ms and 1,012 tokens.
+    // A slot is also occupied for the mean prefill: 20 ms and 1,012 tokens.
     return this->run.load * static_cast<double>(this->run.size.groups) *
            this->run.size.slots / (service + 0.22);
   }
 
-  void Arrive() {
+  void ScheduleArrivals() {
     std::exponential_distribution<double> gap(this->Rate());
     const Duration wait(static_cast<int64_t>(1e6 * gap(this->random)));
     this->events.After(wait, [this] {
-      this->Open();
-      this->Arrive();
+      this->StartCall();
+      this->ScheduleArrivals();
     });
   }
 
@@ -209,7 +211,7 @@
     return 1 + this->zipf(this->random);
   }
 
-  void Open() {
+  void StartCall() {
     auto call = std::make_shared<Call>();
     const size_t draw = this->random() % 10;
     const size_t service_class = draw < 5 ? 0 : draw < 8 ? 1 : 2;
@@ -298,12 +300,12 @@
     const routing::Query query{
         call->request.prefix, 0,
         static_cast<uint8_t>(call->request.service_class)};
-    const auto left =
+    const auto remaining =
         this->run.has_admission
             ? std::chrono::duration_cast<Duration>(call->request.deadline - now)
             : Duration::max();
     const auto choice =
-        routing::ChooseCandidate(router, query, call->answers, left, now);
+        routing::ChooseCandidate(router, query, call->answers, remaining, now);
     if (choice) {
       this->Send(call, *choice);
     } else if (call->answers.empty() && call->rounds == 1) {
@@ -321,10 +323,10 @@
     this->events.After(kOneWay, [this, call] {
       admission::Request request = call->request;
       if (!this->run.has_admission) {
-        // Nothing is late for an agent that knows no deadline.
+        // An agent without admission knows no deadline.
         request.deadline += std::chrono::hours(1000);
       }
-      this->targets[call->target]->Take(
+      this->targets[call->target]->HandleRequest(
           request,
           {.on_first_token = [this, call] { this->Answer(call); },
            .on_refused = [this, call](Duration) { this->Refuse(call); }});
@@ -395,7 +397,7 @@
       outcome.until_refusal.PercentileMilliseconds(0.99));
 }
 
-void PrintHead(const std::string& title, const char* first) {
+void PrintHeader(const std::string& title, const char* first) {
   std::printf(
       "\n%s\n\n| %s | first token ms p50 / p95 / p99 | in time %% | "
       "%s / %s / %s %% | worst owner %% | late %% | until refusal ms "
@@ -404,8 +406,8 @@
 }
 
 void MeasurePolicies(const Size& size) {
-  PrintHead(std::string("Policies at 0.9x of capacity, ") + size.name,
-            "policy");
+  PrintHeader(std::string("Policies at 0.9x of capacity, ") + size.name,
+              "policy");
   for (const char* policy :
        {"random", "round-robin", "least-reported", "probes"}) {
     PrintRow(policy, Bench({.size = size, .policy = policy}).Measure());
@@ -414,9 +416,9 @@
 
 void MeasureLoads(const Size& size) {
   for (const bool has_admission : {true, false}) {
-    PrintHead(std::string(has_admission ? "With" : "Without") +
-                  " admission, by offered load, " + size.name,
-              "load");
+    PrintHeader(std::string(has_admission ? "With" : "Without") +
+                    " admission, by offered load, " + size.name,
+                "load");
     for (const double load : {0.5, 0.8, 1.0, 1.5, 2.0, 3.0}) {
       char name[16];
       std::snprintf(name, sizeof name, "%.1fx", load);
@@ -437,16 +439,16 @@
   };
   const Row rows[] = {
       {"none", Fault::kNone, 0, seconds(60)},
-      {"one 10x slower", Fault::kLimps, 1, seconds(60)},
+      {"one 10x slower", Fault::kSlow, 1, seconds(60)},
       {"engine frozen 20 s", Fault::kEngineFrozen, 1, seconds(20)},
       {"VM frozen 20 s", Fault::kVmFrozen, 1, seconds(20)},
       {"one dead", Fault::kDead, 1, seconds(60)},
-      {"promises 0, limps", Fault::kLies, 1, seconds(60)},
-      {"promises -1 h, limps", Fault::kPromisesNegative, 1, seconds(60)},
+      {"promises 0, limps", Fault::kEstimatesZero, 1, seconds(60)},
+      {"promises -1 h, limps", Fault::kEstimatesNegative, 1, seconds(60)},
       {"a zone cut off 20 s", Fault::kVmFrozen, zone, seconds(20)},
   };
   for (const char* policy : {"random", "least-reported", "probes"}) {
-    PrintHead(
+    PrintHeader(
         std::string("Faults at 0.6x of capacity, ") + policy + ", " + size.name,
         "fault");
     for (const Row& row : rows) {
@@ -459,11 +461,13 @@
                              .Measure());
     }
   }
-  PrintHead(std::string("The same without the guard, probes, ") + size.name,
-            "fault, guard taken out");
-  Run lies{.size = size, .load = 0.6, .fault = Fault::kLies};
-  lies.has_trust = false;
-  PrintRow("promises 0, limps; promises not compared", Bench(lies).Measure());
+  PrintHeader(std::string("The same without the guard, probes, ") + size.name,
+              "fault, guard taken out");
+  Run underestimating{
+      .size = size, .load = 0.6, .fault = Fault::kEstimatesZero};
+  underestimating.has_estimate_check = false;
+  PrintRow("promises 0, limps; promises not compared",
+           Bench(underestimating).Measure());
   Run frozen{.size = size, .load = 0.6, .fault = Fault::kDead};
   frozen.has_ejection = false;
   PrintRow("one dead; no ejection", Bench(frozen).Measure());
@@ -491,7 +495,7 @@
 }
 
 void MeasureAll() {
-  for (const Size& size : {kToday, kAhead}) {
+  for (const Size& size : {kSmallSize, kLargeSize}) {
     MeasurePolicies(size);
     MeasureLoads(size);
     MeasureFaults(size, size.groups_of_zone);
--- a/Measurements/Samples.h
+++ b/Measurements/Samples.h
@@ -1,4 +1,4 @@
-// Times collected by a measurement.
+// Durations collected by a measurement.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 struct Samples {
   std::vector<Duration> values;
 
-  // The value below which `share` of all lie, in milliseconds; 0 for none.
+  // Returns the quantile `share` in milliseconds; 0 if there are no values.
   double PercentileMilliseconds(double share) {
     if (this->values.empty()) {
       return 0;
--- a/Measurements/placement.gp
+++ b/Measurements/placement.gp
@@ -1,5 +1,5 @@
-# Draws docs/placement-curve.svg from the curve that MeasurePlacement prints.
-# Run by Measurements/plot-placement.
+# Draws docs/placement-curve.svg from the curves that MeasurePlacement prints;
+# Measurements/plot-placement runs it.
 set terminal svg size 760,480 font "sans,12"
 set output "docs/placement-curve.svg"
 set title "Placement: skew against bytes moved, 32 ranks, 3 slots, 16,384 tokens a step"
