--- a/Specs/Attempts.pml
+++ b/Specs/Attempts.pml
@@ -114,7 +114,7 @@
   fi
 }
 
-// A request that may not be repeated runs at most once, and a refused one never.
+// A request that may not be repeated runs at most once, a refused one never.
 proctype Monitor() {
   do
   :: assert(is_repeatable || runs <= 1);
--- a/Specs/Claims.pml
+++ b/Specs/Claims.pml
@@ -7,8 +7,9 @@
 // incarnation 2 serves beside it from any moment on. The back end runs a
 // forwarded call at any later time, also after the agent gave it up or died.
 //
-// Properties, as assertions: a key runs at most once; "not run" is answered only
-// for a key that has not run and never will; a key gets only its own answer.
+// Properties, as assertions: a key runs at most once; "not run" is answered
+// only for a key that has not run and never will; a key gets only its own
+// answer.
 //
 // Each variant removes a guard and must yield a counterexample:
 // variant NO_BURN              "not run" is answered and the key stays usable
--- a/Specs/ExpertMap.pml
+++ b/Specs/ExpertMap.pml
@@ -131,8 +131,8 @@
 #endif
 }
 
-// All ranks have loaded the next weights. The decision is logged before any rank
-// can receive it.
+// All ranks have loaded the next weights. The decision is logged before any
+// rank can receive it.
 inline Decide(o) {
   owner[o].version = owner[o].next;
 #ifdef FROM_STEP_WITHIN_WINDOW
--- a/Specs/MapSwitch.pml
+++ b/Specs/MapSwitch.pml
@@ -5,11 +5,11 @@
 //
 // Modelled: orders that are executed at any later time; desired maps and
 // reports that are arbitrarily old; an owner that is killed at any point and
-// restarts without state; a standby owner that acts beside it, whether the owner
-// is dead or running again, and cannot reach rank 0. Copies take no time, since
-// only their order matters. A re-formed group refuses all earlier orders and is
-// not modelled. Two restarts and a third version take more states than a check
-// should; Tests/LibMapSwitch covers them with random seeds.
+// restarts without state; a standby owner that acts beside it, whether the
+// owner is dead or running again, and cannot reach rank 0. Copies take no time,
+// since only their order matters. A re-formed group refuses all earlier orders
+// and is not modelled. Two restarts and a third version take more states than a
+// check should; Tests/LibMapSwitch covers them with random seeds.
 //
 // variant GO_BEFORE_ALL_ARMED the group is released while a rank is not armed
 // variant ARM_BEFORE_HOLD ranks are armed for a pass that nothing holds
@@ -94,7 +94,7 @@
   DesiredMap desired_map;
   RankStatus statuses[RANKS];
   bool has_status[RANKS];
-  byte received_step
+  byte received_step  // the last pass begun, as reported by rank 0
 };
 
 byte step = 0;            // the last pass begun
@@ -389,8 +389,8 @@
   arm = 0
 }
 
-// InferOwnerArmed: rank 0 can't be reached, but its owner sent the arm step, which
-// it does only after its own rank is armed.
+// InferOwnerArmed: rank 0 can't be reached, but the owner sent the arm step,
+// which it does only after its own rank is armed.
 inline InferOwnerArmed() {
   if
   :: !standby.has_status[0] && desired_maps[STANDBY].version != 0 &&
@@ -479,8 +479,8 @@
                       delayed[0].step);
               delayed[0].kind = NO_ORDER; delayed[0].rank = 0;
               delayed[0].version = 0; delayed[0].step = 0 }
-  // An agent acts on its desired map; the owner sends a desired map to an agent;
-  // the owner receives a rank's status.
+  // An agent acts on its desired map; the owner sends a desired map to an
+  // agent; the owner receives a rank's status.
   :: atomic { select(rank : 0 .. RANKS - 1);
               CopyDesiredMap(current, desired_maps[rank]);
               NextOrder(rank);
