--- a/Services/bramleyspand/Gateway/Forwarding.cc
+++ b/Services/bramleyspand/Gateway/Forwarding.cc
@@ -121,7 +121,7 @@
                                   .event_timeout = this->route->event_timeout},
                                  this->arrived);
   gateway::RecordRequest(this->state.repeats, this->service, this->arrived);
-  this->exchange->OnGone([self = this->weak_from_this()] {
+  this->exchange->OnDisconnect([self = this->weak_from_this()] {
     if (const auto forwarding = self.lock()) {
       forwarding->HandleCallerGone();
     }
